--- a/standins/world.py
+++ b/standins/world.py
@@ -36,6 +36,17 @@
     number: int
 
 
+@dataclass(frozen=True)
+class Sent:
+    """What has left a host: `head` is the request line, or the status and headers of an answer; else what it is."""
+
+    at: float  # simulated seconds
+    source: str
+    target: str
+    head: str
+    body: bytes
+
+
 @dataclass(frozen=True)
 class Delayed:
     """A verdict on a message: it arrives this much later."""
@@ -123,6 +134,7 @@
         self.number = 0
         # "hold", "drop", None, a delay, or the seconds after which a copy comes as well
         self.watch: Callable[[Message], str | float | Delayed | None] = lambda message: None
+        self.record: Callable[[Sent], None] = lambda sent: None  # told of each message that left its host
 
     def shut(self, host: Host) -> None:
         self.listeners = {a: found for a, found in self.listeners.items() if found[0] is not host}
@@ -144,15 +156,26 @@
         return next((c for c in self.cuts if fits(c.source, source) and fits(c.target, target)), None)
 
     def send(
-        self, source: Host, target: Host, what: str, body: bytes, deliver: Callable[[], None], after: float = 0.0
+        self,
+        source: Host,
+        target: Host,
+        what: str,
+        body: bytes,
+        deliver: Callable[[], None],
+        after: float = 0.0,
+        head: str | None = None,
     ) -> float:
-        """Deliver in the target's context; when it will be, or infinity if that is not known."""
+        """Deliver in the target's context; when it will be, or infinity if that is not known.
+
+        `head` is recorded in place of `what`, where that leaves something out.
+        """
         self.number += 1
         message = Message(source.name, target.name, what, body, self.number)
         self.log.append(f"{self.loop.now:.6f} {source.name} {target.name} {what} {len(body)}")
         verdict = self.watch(message)
         if source.crashed:  # the watcher may have ended it: what it was about to send never left
             return math.inf
+        self.record(Sent(self.loop.now, source.name, target.name, what if head is None else head, body))
         cut = self._cut(source, target)
 
         def arrive() -> None:
@@ -267,8 +290,9 @@
 class _Exchange(httputil.HTTPConnection):
     """Takes what a tornado application answers."""
 
-    def __init__(self, done: Callable[[Reply], None]) -> None:
+    def __init__(self, done: Callable[[Reply, str], None]) -> None:
         self._done = done
+        self._head = ""
         self._status, self._after, self._chunks = 0, None, b""  # type: ignore[var-annotated]
 
     def _written(self) -> asyncio.Future:
@@ -279,6 +303,9 @@
     def write_headers(self, start_line, headers, chunk=None):  # type: ignore[no-untyped-def]
         after = headers.get("Retry-After")
         self._status, self._after = start_line.code, float(after) if after else None
+        # tornado takes the date from the machine's clock, and says its own version.
+        kept = sorted((k, v) for k, v in headers.get_all() if k not in ("Date", "Server"))
+        self._head = "\n".join([f"answer {start_line.code}", *(f"{k}: {v}" for k, v in kept)])
         return self.write(chunk or b"")
 
     def write(self, chunk: bytes) -> asyncio.Future:
@@ -286,7 +313,7 @@
         return self._written()
 
     def finish(self) -> None:
-        self._done(Reply(self._status, self._chunks, self._after))
+        self._done(Reply(self._status, self._chunks, self._after), self._head)
 
     def set_close_callback(self, callback: Any) -> None:
         pass
@@ -306,12 +333,12 @@
         target, answer = server.host, net.loop.create_future()
         name = f"{method} {path.partition('?')[0]}"
 
-        def back(reply: Reply) -> None:
+        def back(reply: Reply, head: str) -> None:
             def arrive() -> None:
                 if not answer.done():
                     answer.set_result(reply)
 
-            net.send(target, host, f"answer {name}", reply.body, arrive)
+            net.send(target, host, f"answer {name}", reply.body, arrive, head=f"{name}\n{head}")
 
         def handle() -> None:
             delegate = server.delegate.start_request(object(), _Exchange(back))
@@ -324,7 +351,7 @@
             delegate.finish()
 
         if self._known or net._cut(host, target) is None:
-            net.send(host, target, name, body or b"", handle)
+            net.send(host, target, name, body or b"", handle, head=f"{method} {path}")
         try:
             async with asyncio.timeout(timeout):
                 reply = await answer
--- a/tests/meeting.py
+++ b/tests/meeting.py
@@ -16,7 +16,7 @@
     wrongly_accepted,
 )
 from standins.scene import JOB, Scene
-from standins.world import Cut, Delayed, Message
+from standins.world import Cut, Delayed, Message, Sent
 
 GPUS_MAX = 24.0  # of each team
 FIRST_S, SPREAD_S = 18.0, 45.0  # when troubles begin
@@ -32,11 +32,17 @@
     """A day of some jobs on which troubles meet. Everything follows from the seed and the troubles' names.
 
     `wide`: two teams, gangs, and images that take their time. `jobs`: how many come by themselves.
-    `run_s`: how long tasks run, if not as the seed says.
+    `run_s`: how long tasks run, if not as the seed says. `record`: is told of each message that left its host.
     """
 
     def __init__(
-        self, troubles: tuple[Trouble, ...], seed: int, wide: bool = False, jobs: int = 10, run_s: float | None = None
+        self,
+        troubles: tuple[Trouble, ...],
+        seed: int,
+        wide: bool = False,
+        jobs: int = 10,
+        run_s: float | None = None,
+        record: Callable[[Sent], None] = lambda sent: None,
     ) -> None:
         self.rng = random.Random(f"{tuple(t.__name__ for t in troubles)}/{seed}")
         self.wide = wide
@@ -59,6 +65,7 @@
         self.reports: list[tuple[str, bytes]] = []  # copies kept for the next leader: machine, body
         scene.state.late_s = self._late_write
         scene.net.watch = self._watch
+        scene.net.record = record
         scene.start_all()
         scene.loop.run(3.0)
         self.refs: list[str] = []
