--- a/winglift/controller/leaving.py
+++ b/winglift/controller/leaving.py
@@ -33,7 +33,8 @@
 
     def return_idle(self, spare: set[str], now: float) -> None:
         """Idle machines go back near their paid boundary: the first paid stretch, then any second."""
-        for name in spare:
+        # Sorted: the order of a set of names differs from one process to the next.
+        for name in sorted(spare):
             machine = self.picture.machines.get(name)
             if machine is None or machine.tasks or machine.strangers or machine.state is not MachineState.UP:
                 continue
