--- a/winglift/flows/run.py
+++ b/winglift/flows/run.py
@@ -17,13 +17,13 @@
 
 import msgspec
 
-from .. import constants as c
+from .. import constants
 from ..api.jobs import feasible
 from ..model import records as job_records
-from ..model.job import JobState
-from ..net.outside import steady, wall
-from ..store.client import Malformed, Refused
-from ..wire import state as wire
+from ..model.job_state import JobState
+from ..net.runtime import monotonic_time, wall_time
+from ..store.client import InvalidRequest, RequestRejected
+from ..wire import state as state_messages
 from ..wire.flows import Expression, FlowState, FoundItem, How, Tool
 from . import records
 from .engine import Engine, Leaf, Needs
@@ -99,13 +99,15 @@
                         call()
                         call = None
                     # A wide graph has thousands of steps at once: the leader's other work goes on in between.
-                    while self.engine.go(c.FLOW_STEPS_AT_ONCE):
+                    while self.engine.go(constants.FLOW_STEPS_AT_ONCE):
                         await asyncio.sleep(0)
                     return
                 except Needs as need:
                     content = await self.leader.files.get(need.digest)
-                    if len(content) > c.LOAD_CONTENTS_BYTES:
-                        raise FlowError(f"loadContents: a file of more than {c.LOAD_CONTENTS_BYTES} bytes") from None
+                    if len(content) > constants.LOAD_CONTENTS_BYTES:
+                        raise FlowError(
+                            f"loadContents: a file of more than {constants.LOAD_CONTENTS_BYTES} bytes"
+                        ) from None
                     self.engine.contents[need.digest] = content.decode(errors="replace")
         finally:
             self._inbox.extend(self.engine.take())
@@ -115,7 +117,7 @@
         looked = 0
         while self._inbox:
             looked += 1
-            if looked % c.FLOW_STEPS_AT_ONCE == 0:
+            if looked % constants.FLOW_STEPS_AT_ONCE == 0:
                 await asyncio.sleep(0)
             leaf = self._inbox.popleft()
             record = self.records.get(leaf.path)
@@ -147,33 +149,33 @@
     async def _commit(self, changes: list[Any], absent: str | None = None) -> int | None:
         """The revision; None if the key that had to be absent is there. Raises Superseded, Refused, Unknown."""
         leader = self.leader
-        conditions = [leader.leadership(), wire.Condition(records.HEAD + self.ref, self.version)]
+        conditions = [leader.leadership(), state_messages.Condition(records.HEAD + self.ref, self.version)]
         if absent is not None:
-            conditions.append(wire.Condition(absent, 0))
+            conditions.append(state_messages.Condition(absent, 0))
         try:
-            result = await leader.state.commit(wire.Transaction(conditions, changes))
-        except Malformed as err:
+            result = await leader.state.commit(state_messages.Transaction(conditions, changes))
+        except InvalidRequest as err:
             # It would be refused for ever.
             raise FlowError(f"the state service does not take it: {err}") from None
-        if isinstance(result, wire.Committed):
+        if isinstance(result, state_messages.Committed):
             return result.revision
         if result.failed == [absent]:
             return None
         raise Superseded(f"{self.ref}: {', '.join(result.failed)} changed")
 
     async def _write_head(self, head: records.Head) -> None:
-        revision = await self._commit([wire.Put(records.HEAD + self.ref, head)])
+        revision = await self._commit([state_messages.Put(records.HEAD + self.ref, head)])
         assert revision is not None  # no key had to be absent
         self.head, self.version = head, revision
 
     async def _record(self, leaf: Leaf, record: records.StepRecord, results: list[dict[str, Any]]) -> None:
         packed = msgspec.json.encode(results)
-        if len(packed) <= c.FLOW_INLINE_BYTES:
+        if len(packed) <= constants.FLOW_INLINE_BYTES:
             record.results = results
         else:
             record.digest = await self.leader.files.put(packed)
         # An end is committed before anything is built on it.
-        await self._commit([wire.Put(records.step_key(self.ref, leaf.path), record)])
+        await self._commit([state_messages.Put(records.step_key(self.ref, leaf.path), record)])
         self.records[leaf.path] = record
         self.open.pop(leaf.path, None)
         await self._take_end(leaf, record)
@@ -215,19 +217,19 @@
 
     async def _launch(self, leaf: Leaf) -> None:
         assert self.engine is not None
-        if len(leaf.path.encode()) > c.FLOW_PATH_BYTES:
-            raise FlowError(f"{leaf.path[:60]}…: a path of more than {c.FLOW_PATH_BYTES} bytes")
+        if len(leaf.path.encode()) > constants.FLOW_PATH_BYTES:
+            raise FlowError(f"{leaf.path[:60]}…: a path of more than {constants.FLOW_PATH_BYTES} bytes")
         process = self.engine.plan.processes[leaf.process]
         if isinstance(process, Expression):
             results = self.engine.evaluate(leaf)
-            await self._record(leaf, records.StepRecord(leaf.path, How.DONE, wall()), results)
+            await self._record(leaf, records.StepRecord(leaf.path, How.DONE, wall_time()), results)
             return
         assert isinstance(process, Tool)
         key = key_of(self.engine, leaf)
         known = self.reuse.get(key)
         if known is not None:
-            record = msgspec.structs.replace(known, path=leaf.path, ended=wall())
-            await self._commit([wire.Put(records.step_key(self.ref, leaf.path), record)])
+            record = msgspec.structs.replace(known, path=leaf.path, ended=wall_time())
+            await self._commit([state_messages.Put(records.step_key(self.ref, leaf.path), record)])
             self.records[leaf.path] = record
             log.info("%s: %s is taken over from %s", self.ref, leaf.path, self.head.sub.reuse)
             await self._take_end(leaf, record)
@@ -261,7 +263,7 @@
             self._widths[path] = max(self._widths.get(path, 1.0), rows)
             self._dues = None
         if leaf.hints.deadline_s is not None:
-            return wall() + leaf.hints.deadline_s
+            return wall_time() + leaf.hints.deadline_s
         if sub.due_s is None:
             return None
         if self._dues is None:
@@ -271,35 +273,37 @@
 
     async def _submit(self, part: Part, tool: Tool, leaf: Leaf, due: float | None, near: frozenset[str]) -> None:
         leader = self.leader
-        now = wall()
+        now = wall_time()
         spec = submission(
             part, tool, leaf.hints, self.head.sub.team, None if due is None else max(0.0, due - now), leaf.path
         )
         types = leader.types()
         if not types:
-            raise Refused("machine types are not known yet")
+            raise RequestRejected("machine types are not known yet")
         why = feasible(spec, leader.settings, types)
         if why is not None:
             raise FlowError(f"{leaf.path}: can never run: {why}")
         doubtful = leaf.path in self._doubtful
         self._doubtful.add(leaf.path)
-        known = await leader.state.get(job_records.JOB + part.ref) if doubtful else None
+        known = await leader.state.get(job_records.JOB_PREFIX + part.ref) if doubtful else None
         if known is None:
             # What a worker needs lies ready before the job exists.
             for content in {d: b for made in part.made for d, b in made.blobs.items()}.values():
                 await leader.files.put(content)
             works = [made.work for made in part.made]
-            for page in range(0, len(works), c.FLOW_PAGE):
-                await leader.files.describe(part.ref, page // c.FLOW_PAGE, works[page : page + c.FLOW_PAGE])
+            for page in range(0, len(works), constants.FLOW_PAGE):
+                await leader.files.describe(
+                    part.ref, page // constants.FLOW_PAGE, works[page : page + constants.FLOW_PAGE]
+                )
             leader.near(part.ref, near or None)
-            record = job_records.fresh(spec, now)
-            condition, put = job_records.change(part.ref, 0, JobState.OPEN, record)
+            record = job_records.new_record(spec, now)
+            condition, put = job_records.record_change(part.ref, 0, JobState.OPEN, record)
             revision = await self._commit([put], absent=condition.key)
             if revision is not None:
                 leader.take_job(part.ref, revision, record)
                 log.debug("%s: %s is %s, %d tasks", self.ref, leaf.path, part.ref, spec.tasks)
                 return
-            known = await leader.state.get(job_records.JOB + part.ref)
+            known = await leader.state.get(job_records.JOB_PREFIX + part.ref)
         if known is not None:
             there = job_records.decode(known.value).spec
             if (there.team, there.tasks, there.image) != (spec.team, spec.tasks, spec.image):
@@ -312,11 +316,11 @@
         ended = 0
         for part in found.parts:
             job = self.leader.job(part.ref)
-            if job is not None and job.recorded_state is JobState.OPEN:
-                if job.failed_on or job.failures:
+            if job is not None and job.committed_state is JobState.OPEN:
+                if job.failed_on or job.failed_rounds:
                     await self._check_failures(found, part)
                 continue
-            item = await self.leader.state.get(job_records.JOB + part.ref)
+            item = await self.leader.state.get(job_records.JOB_PREFIX + part.ref)
             if item is None:
                 raise FlowError(f"{found.leaf.path}: its job {part.ref} is not known")
             state = job_records.decode(item.value).state
@@ -338,7 +342,7 @@
         record = records.StepRecord(
             found.leaf.path,
             How.DONE,
-            wall(),
+            wall_time(),
             found.key,
             machines=sorted(machines)[:20],
             jobs=[p.ref for p in found.parts][:20],
@@ -359,20 +363,20 @@
 
     async def _check_failures(self, found: Open, part: Part) -> None:
         """A command that fails on one machine may be the machine's fault; on several it is its own."""
-        if steady() < found.look_at:
+        if monotonic_time() < found.look_at:
             return
-        found.look_at = steady() + 1.0
+        found.look_at = monotonic_time() + 1.0
         by_task: dict[int, dict[str, FoundItem]] = {}
         for item in await self.leader.files.found(part.ref, failed=True):
             by_task.setdefault(item.number, {})[item.found.machine] = item
         for number, machines in by_task.items():
-            if len(machines) >= c.FLOW_FAILED_ON:
+            if len(machines) >= constants.FLOW_FAILED_ON:
                 last = list(machines.values())[-1].found
                 leaf, place = found.leaf, part.places[number]
                 where = leaf.path if leaf.node.shape is None else f"{leaf.path}[{leaf.node.places[place]}]"
                 why = last.why or f"exit code {last.code}"
-                record = records.StepRecord(leaf.path, How.FAILED, wall(), jobs=[part.ref], tasks=len(part.places))
-                await self._commit([wire.Put(records.step_key(self.ref, leaf.path), record)])
+                record = records.StepRecord(leaf.path, How.FAILED, wall_time(), jobs=[part.ref], tasks=len(part.places))
+                await self._commit([state_messages.Put(records.step_key(self.ref, leaf.path), record)])
                 raise StepFailed(f"{where}: {why} on {len(machines)} machines", last.errors)
 
     async def tidy(self) -> None:
--- a/winglift/flows/service.py
+++ b/winglift/flows/service.py
@@ -8,15 +8,15 @@
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
-from .. import constants as c
-from ..api.handlers import ForUsers, Service
-from ..api.jobs import Jobs, NeverRuns, NotNow
+from .. import constants
+from ..api.handlers import ApiHost, ForUsers
+from ..api.jobs import Jobs, TemporarilyUnavailable, Unschedulable
 from ..config.settings import Settings, parse_addr
-from ..controller.lead import Controller
-from ..net.outside import wall
-from ..store.client import Refused, StateClient, Unknown
-from ..wire import flows as wire
-from ..wire import state
+from ..controller.leader_term import LeaderTerm
+from ..net.runtime import wall_time
+from ..store.client import OutcomeUnknown, RequestRejected, StateClient
+from ..wire import flows as flow_messages
+from ..wire import state as state_messages
 from ..wire.flows import FlowReply, FlowState, FlowSubmission, How, StepReply
 from ..wire.users import Invalid, JobStatus
 from . import records
@@ -31,7 +31,7 @@
 log = logging.getLogger(__name__)
 
 
-class Host(Service, Protocol):
+class Host(ApiHost, Protocol):
     """The node that serves workflows."""
 
     settings: Settings
@@ -59,9 +59,9 @@
         args = {"node": self.node, "flows": self}
         return [(r"/flows", Submit, args), (r"/flows/([^/]*)", Status, args), (r"/flows/([^/]*)/abort", Cancel, args)]
 
-    def lead(self, controller: Controller) -> None:
+    def lead(self, controller: LeaderTerm) -> None:
         self.driver = Driver(controller, self.jobs, self.files, self.engines, self.settings)
-        controller.tidy.sweepers.append(OldSteps(controller.state))
+        controller.garbage_collector.sweepers.append(OldSteps(controller.state))
 
     def follow(self) -> None:
         if self.driver is not None:
@@ -74,15 +74,15 @@
         """The steps of a plan; raises Invalid, FlowError, FilesError."""
         if plan not in self._graphs:
             self._graphs[plan] = (await asyncio.to_thread(lay_open, await self.files.get(plan)))[1]
-            while len(self._graphs) > 1 and sum(map(len, self._graphs.values())) > c.FLOW_STEPS_MOST:
+            while len(self._graphs) > 1 and sum(map(len, self._graphs.values())) > constants.FLOW_STEPS_MAX:
                 self._graphs.popitem(last=False)
         return self._graphs[plan]
 
     async def _head(self, ref: str) -> tuple[records.Head, int] | None:
         try:
-            item = await self.node.state.get(records.HEAD + ref, timeout=c.STATUS_TIMEOUT_S)
-        except (Refused, Unknown) as err:
-            raise NotNow(str(err)) from None
+            item = await self.node.state.get(records.HEAD + ref, timeout=constants.STATUS_TIMEOUT_S)
+        except (RequestRejected, OutcomeUnknown) as err:
+            raise TemporarilyUnavailable(str(err)) from None
         return None if item is None else (records.decode_head(item.value), item.version)
 
     async def submit(self, sub: FlowSubmission) -> tuple[int, FlowReply]:
@@ -90,7 +90,7 @@
         known = await self._head(sub.ref)
         if known is None:
             if all(t.name != sub.team for t in self.node.settings.settings.teams):
-                raise NeverRuns(f"team: unknown team {sub.team}")
+                raise Unschedulable(f"team: unknown team {sub.team}")
             try:
                 await self._graph(sub.plan)
                 await self.files.get(sub.order)
@@ -99,25 +99,25 @@
             except FlowError as err:
                 raise Invalid(f"plan: {err}") from None
             except FilesError as err:
-                raise NotNow(str(err)) from None
+                raise TemporarilyUnavailable(str(err)) from None
             if sub.reuse is not None:
                 earlier = await self._head(sub.reuse)
                 # What another team's workflow has found is nobody else's to see.
                 if earlier is None or earlier[0].sub.team != sub.team:
-                    raise NeverRuns(f"reuse: {sub.team} has no workflow {sub.reuse}")
-            head = records.Head(sub, wall())
+                    raise Unschedulable(f"reuse: {sub.team} has no workflow {sub.reuse}")
+            head = records.Head(sub, wall_time())
             key = records.HEAD + sub.ref
-            txn = state.Transaction([state.Condition(key, 0)], [state.Put(key, head)])
+            txn = state_messages.Transaction([state_messages.Condition(key, 0)], [state_messages.Put(key, head)])
             try:
-                result = await self.node.state.commit(txn, timeout=c.SUBMIT_TIMEOUT_S)
-            except (Refused, Unknown) as err:
+                result = await self.node.state.commit(txn, timeout=constants.SUBMIT_TIMEOUT_S)
+            except (RequestRejected, OutcomeUnknown) as err:
                 # Taken or not: the user asks again, and the same id tells.
-                raise NotNow(str(err)) from None
-            if isinstance(result, state.Committed):
+                raise TemporarilyUnavailable(str(err)) from None
+            if isinstance(result, state_messages.Committed):
                 return 201, records.reply(head)
             known = await self._head(sub.ref)
             if known is None:
-                raise NotNow("the state service contradicts itself")
+                raise TemporarilyUnavailable("the state service contradicts itself")
         if known[0].sub != sub:
             raise Unlike(f"ref: {sub.ref} belongs to another workflow")
         return 200, records.reply(known[0])
@@ -133,8 +133,8 @@
         try:
             items = (await self.node.state.list(records.step_prefix(ref)))[0]
             nodes = await self._graph(head.sub.plan)
-        except (Refused, Unknown, FilesError) as err:
-            raise NotNow(str(err)) from None
+        except (RequestRejected, OutcomeUnknown, FilesError) as err:
+            raise TemporarilyUnavailable(str(err)) from None
         except (Invalid, FlowError):
             return records.reply(head)
         ended = [records.decode_step(item.value) for item in items]
@@ -147,7 +147,7 @@
         ]
         order = {path: number for number, path in enumerate(nodes)}
         steps.sort(key=lambda s: (order.get(plain(s.path), 0), s.path))
-        page = steps[start : start + c.FLOW_STEPS_SHOWN]
+        page = steps[start : start + constants.FLOW_STEPS_SHOWN]
         if head.state is FlowState.OPEN:
             page = [
                 (await self._open(ref, s.path) or s) if s.state == "waiting" and nodes[s.path].parents <= over else s
@@ -166,19 +166,19 @@
             path, "running" if running else "queued", (found.done or 0) + (found.running or 0), found.done or 0, [job]
         )
 
-    async def listing(self, after: str) -> wire.FlowList:
+    async def listing(self, after: str) -> flow_messages.FlowList:
         try:
             items, _ = await self.node.state.list(records.HEAD)
-        except (Refused, Unknown) as err:
-            raise NotNow(str(err)) from None
+        except (RequestRejected, OutcomeUnknown) as err:
+            raise TemporarilyUnavailable(str(err)) from None
         later = [i for i in items if i.key > records.HEAD + after]
-        found = [records.reply(records.decode_head(i.value)) for i in later[: c.FLOW_LISTED]]
-        return wire.FlowList(found, len(later) > c.FLOW_LISTED, self.settings.files)
+        found = [records.reply(records.decode_head(i.value)) for i in later[: constants.FLOW_LISTED]]
+        return flow_messages.FlowList(found, len(later) > constants.FLOW_LISTED, self.settings.files)
 
     async def cancel(self, ref: str) -> FlowReply | None:
         """Answered once it is committed (invariant 4). From then on nothing of it is submitted; the leader cancels the
         jobs that are open."""
-        for _ in range(c.CANCEL_TRIES):
+        for _ in range(constants.CANCEL_TRIES):
             known = await self._head(ref)
             if known is None:
                 return None
@@ -189,19 +189,21 @@
             key = records.HEAD + ref
             try:
                 result = await self.node.state.commit(
-                    state.Transaction([state.Condition(key, version)], [state.Put(key, head)])
+                    state_messages.Transaction(
+                        [state_messages.Condition(key, version)], [state_messages.Put(key, head)]
+                    )
                 )
-            except Unknown:
+            except OutcomeUnknown:
                 continue  # read again: it may have been carried out
-            except Refused as err:
-                raise NotNow(str(err)) from None
-            if isinstance(result, state.Committed):
+            except RequestRejected as err:
+                raise TemporarilyUnavailable(str(err)) from None
+            if isinstance(result, state_messages.Committed):
                 return records.reply(head)
-        raise NotNow("the workflow changes too often just now")
+        raise TemporarilyUnavailable("the workflow changes too often just now")
 
 
 class ForFlows(ForUsers):
-    def initialize(self, node: Service, flows: Flows) -> None:  # type: ignore[override]
+    def initialize(self, node: ApiHost, flows: Flows) -> None:  # type: ignore[override]
         self.node = node
         self.flows = flows
 
@@ -212,7 +214,7 @@
             self.refuse(409, str(err))
 
     def flow(self, text: str) -> str:
-        if not wire.is_flow(text):
+        if not flow_messages.is_flow(text):
             raise Invalid("ref: expected the form fl-000412")
         return text
 
@@ -226,7 +228,7 @@
 
     async def post(self) -> None:
         async def ask() -> tuple[int, object]:
-            return await self.flows.submit(wire.parse_submission(self.request.body))
+            return await self.flows.submit(flow_messages.parse_submission(self.request.body))
 
         await self.answer(ask)
 
--- a/winglift/flows/settings.py
+++ b/winglift/flows/settings.py
@@ -6,20 +6,20 @@
 
 import msgspec
 
-from .. import constants as c
+from .. import constants
 from ..config.settings import SettingsError, parse_addr
 
 
 class Expressions(msgspec.Struct, frozen=True):
-    time_s: float = c.EXPRESSION_S
-    memory_mb: float = c.EXPRESSION_MB
+    time_s: float = constants.EXPRESSION_S
+    memory_mb: float = constants.EXPRESSION_MB
 
 
 class FlowSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """`files`: address of the store of uploads."""
 
     files: str
-    open_jobs: int = c.FLOW_OPEN_JOBS
+    open_jobs: int = constants.FLOW_OPEN_JOBS
     expressions: Expressions = Expressions()
 
 
--- a/winglift/flows/sweep.py
+++ b/winglift/flows/sweep.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from .. import constants as c
-from ..duties.tidy import Removal
-from ..net.outside import steady, wall
+from .. import constants
+from ..duties.garbage_collection import Removal
+from ..net.runtime import monotonic_time, wall_time
 from ..store.client import StateClient
-from ..wire import state as wire
+from ..wire import state as state_messages
 from ..wire.flows import FlowState
 from . import records
 
@@ -19,36 +19,36 @@
         self._next = 0.0
 
     async def find(self, most: int) -> list[Removal]:
-        if steady() < self._next:
+        if monotonic_time() < self._next:
             return []
         found: list[Removal] = []
-        now = wall()
+        now = wall_time()
         heads, _ = await self.state.list(records.HEAD)
         for item in heads:
             try:
                 head = records.decode_head(item.value)
-            except records.BadRecord:
+            except records.InvalidRecord:
                 continue  # not written by this program: left alone
             over = head.state is FlowState.DONE or head.tidy
-            if not over or head.swept or now - head.submitted < c.TIDY_STEPS_S:
+            if not over or head.swept or now - head.submitted < constants.GC_FLOW_STEPS_AGE_S:
                 continue
             found += await self._steps(item, head, most, now)
-            if len(found) >= c.TIDY_REMOVALS_MOST:
+            if len(found) >= constants.GC_REMOVALS_MAX:
                 return found  # the rest at the next look
-        self._next = steady() + c.TIDY_FLOWS_EVERY_S
+        self._next = monotonic_time() + constants.GC_FLOWS_INTERVAL_S
         return found
 
-    async def _steps(self, item: wire.Item, head: records.Head, most: int, now: float) -> list[Removal]:
+    async def _steps(self, item: state_messages.Item, head: records.Head, most: int, now: float) -> list[Removal]:
         ref = head.sub.ref
         steps, _ = await self.state.list(records.step_prefix(ref))
         for step in steps:
             try:
-                if now - records.decode_step(step.value).ended < c.TIDY_STEPS_S:
+                if now - records.decode_step(step.value).ended < constants.GC_FLOW_STEPS_AGE_S:
                     return []
-            except records.BadRecord:
+            except records.InvalidRecord:
                 return []
         keys = [(step.key, step.version) for step in steps]
         if keys:
             return [Removal(f"steps of {ref}", tuple(keys[i : i + most])) for i in range(0, len(keys), most)]
         head.swept = True
-        return [Removal(f"steps of {ref}", (), ((wire.Put(item.key, head), item.version),))]
+        return [Removal(f"steps of {ref}", (), ((state_messages.Put(item.key, head), item.version),))]
--- a/winglift/model/picture.py
+++ b/winglift/model/cluster_state.py
@@ -10,22 +10,22 @@
 from collections import OrderedDict
 from collections.abc import Callable, Iterable
 
-from .. import constants as c
+from .. import constants
 from ..config.settings import Settings
 from ..wire.cloud import MachineType
 from ..wire.users import Kind
-from .boots import Boots
+from .boot_tracker import BootTracker
 from .entities import Job, Machine, Task
-from .machine import MachineEvent, MachineState
-from .task import TaskEvent, TaskState
-from .teams import QuotaUsage
+from .machine_state import MachineEvent, MachineState
+from .quota import QuotaUsage
+from .task_state import TaskEvent, TaskState
 
 log = logging.getLogger(__name__)
 
-URGENT, START, PROGRESS, TIDY = 1, 2, 3, 4  # how soon a change is written
+URGENT, START, PROGRESS, CLEANUP = 1, 2, 3, 4  # how soon a change is written
 
 
-class Picture:
+class ClusterState:
     """The cluster state of one term. Everything that changes who holds what passes here."""
 
     def __init__(self, settings: Settings, types: dict[str, MachineType], term: int) -> None:
@@ -34,14 +34,16 @@
         self.term = term
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
-        self.deleted: dict[str, float] = {}
-        self.over: OrderedDict[str, int] = OrderedDict()  # jobs that hold nothing any more: the record's last version
+        self.deleted_machines: dict[str, float] = {}
+        self.finished_versions: OrderedDict[str, int] = (
+            OrderedDict()
+        )  # jobs that hold nothing any more: the record's last version
         self.quota = QuotaUsage({t.name: t for t in settings.settings.teams})
-        self.run_ratio: dict[str, float] = {}  # job class: real run time by the estimate
-        self.known_images: dict[str, dict[str, float]] = {}  # what the leader before knew of machines
+        self.runtime_ratio: dict[str, float] = {}  # job class: real run time by the estimate
+        self.inherited_images: dict[str, dict[str, float]] = {}  # what the leader before knew of machines
         self.silent_since: dict[str, float] = {}  # the same: when machines were last heard that had fallen silent
-        self.boots = Boots()
-        self.watched_at = -math.inf  # steady time: what others committed before it is known here
+        self.boot_tracker = BootTracker()
+        self.records_current_at = -math.inf  # steady time: what others committed before it is known here
         self.changed = True
         self.superseded = False  # a record shows that another leader has decided
         self.on_stop: Callable[[Task], None] = lambda task: None
@@ -50,19 +52,19 @@
 
     # -- who holds what ------------------------------------------------------------------------
 
-    def hold(self, task: Task) -> None:
+    def assign(self, task: Task) -> None:
         """A task takes a place, and counts for its team from now on."""
         task.job.active[task.index] = task
         task.machine.tasks[task.job.ref, task.index] = task
-        task.machine.touch()
+        task.machine.invalidate_usage()
         self.quota.add(task.job.spec)
 
-    def drop(self, task: Task, event: TaskEvent, now: float) -> None:
+    def transition_and_release(self, task: Task, event: TaskEvent, now: float) -> None:
         """The task is proven off its machine, or never got there."""
         task.move(event, now)
-        self.let_go(task, now)
+        self.release(task, now)
 
-    def let_go(self, task: Task, now: float) -> None:
+    def release(self, task: Task, now: float) -> None:
         """A task leaves its place."""
         job = task.job
         if job.active.get(task.index) is task:
@@ -71,31 +73,31 @@
             if job.kind is Kind.SERVICE and job.is_open:
                 self.on_urgent()
         task.machine.tasks.pop((job.ref, task.index), None)
-        task.machine.touch()
+        task.machine.invalidate_usage()
         if not task.machine.tasks:
             task.machine.idle_since = now
         if not job.active:
             job.gang_started = job.gang_broken = False
-            job.waits_since = now
-        if job.recorded.get(task.index) == (task.machine.name, task.attempt):
-            job.mark(TIDY)
+            job.queued_since = now
+        if job.committed_assignments.get(task.index) == (task.machine.name, task.attempt):
+            job.request_write(CLEANUP)
         self.changed = True
 
-    def forget(self, job: Job) -> None:
+    def forget_job(self, job: Job) -> None:
         """An ended job of which nothing is left. A late word of an older record must not bring its places back."""
         self.jobs.pop(job.ref, None)
-        self.over[job.ref] = job.version
-        while len(self.over) > c.ENDS_CACHED:
-            self.over.popitem(last=False)
+        self.finished_versions[job.ref] = job.version
+        while len(self.finished_versions) > constants.FINAL_STATES_CACHED:
+            self.finished_versions.popitem(last=False)
 
     # -- decisions -----------------------------------------------------------------------------
 
-    def violation(self, job: Job, machine: Machine, extra: dict[str, int] | None = None) -> str | None:
+    def placement_violation(self, job: Job, machine: Machine, extra: dict[str, int] | None = None) -> str | None:
         """Why a task of this job may not be placed there, or None. Every placement passes here (invariant 5)."""
         spec = job.spec
         if not job.is_open:
             return "job has ended"
-        if machine.type is None or not machine.usable:
+        if machine.type is None or not machine.accepts_tasks:
             return "machine not usable"
         if spec.types is not None and machine.type.name not in spec.types:
             return "type"
@@ -111,62 +113,66 @@
         # A task on a machine of unknown zone may be in this one.
         if spec.spread and zones.get(machine.zone, 0) + zones.get("", 0) + 1 > (spec.tasks + 1) // 2:
             return "more than half of the job in one zone"
-        if self.quota.room_for(spec) < 1:
+        if self.quota.tasks_allowed(spec) < 1:
             return "team limit"
         return None
 
-    def propose(self, job: Job, places: Iterable[tuple[int, Machine]], now: float) -> bool:
+    def propose_placement(self, job: Job, places: Iterable[tuple[int, Machine]], now: float) -> bool:
         """Take places for one start of tasks of a job. All or, for a gang, none."""
         attempt = job.next_attempt
         made: list[Task] = []
         for index, machine in places:
-            why = "holds a place" if index in job.active or index in job.done else self.violation(job, machine)
+            why = (
+                "holds a place" if index in job.active or index in job.done else self.placement_violation(job, machine)
+            )
             if why is not None:
                 log.warning("%s/%d: not placed on %s: %s", job.ref, index, machine.name, why)
                 if job.kind is Kind.GANG:
                     for task in made:
-                        self.drop(task, TaskEvent.REJECT, now)
+                        self.transition_and_release(task, TaskEvent.REJECT, now)
                     return False
                 continue
             task = Task(job, index, attempt, machine, TaskState.PROPOSED, now)
-            self.hold(task)
+            self.assign(task)
             machine.idle_since = None
             made.append(task)
         if not made:
             return False
         job.next_attempt = attempt + 1
-        job.mark(START)
+        job.request_write(START)
         return True
 
-    def stop(self, task: Task, grace_s: float, now: float, reason: str) -> None:
+    def request_stop(self, task: Task, grace_s: float, now: float, reason: str) -> None:
         """Ask for a task to be stopped. A task that was never sent is simply let go."""
         if task.state is TaskState.COMMITTED and task.job.kind is not Kind.GANG:
-            self.drop(task, TaskEvent.MACHINE_GONE, now)
+            self.transition_and_release(task, TaskEvent.MACHINE_GONE, now)
             return
-        if task.stop_grace is None or grace_s < task.stop_grace:
-            task.tell_stop(grace_s)
+        if task.stop_grace_s is None or grace_s < task.stop_grace_s:
+            task.mark_stopping(grace_s)
             log.debug("stop %s on %s: %s, grace %.1f s", task.name, task.machine.name, reason, grace_s)
             self.on_stop(task)
             self.changed = True
 
-    def stop_all(self, job: Job, now: float, reason: str, grace_s: float = 0.0) -> None:
+    def request_stop_of_all(self, job: Job, now: float, reason: str, grace_s: float = 0.0) -> None:
         """Ask for all tasks of a job to be stopped."""
         for task in list(job.active.values()):
             if task.state is TaskState.COMMITTED:
-                self.drop(task, TaskEvent.MACHINE_GONE, now)
+                self.transition_and_release(task, TaskEvent.MACHINE_GONE, now)
             else:
-                self.stop(task, grace_s, now, reason)
+                self.request_stop(task, grace_s, now, reason)
 
     def break_gang(self, job: Job, now: float, reason: str) -> None:
         """A gang that lost a member starts again only when all its members are proven off."""
         if not job.gang_broken and job.active:
             log.debug("gang %s is broken: %s", job.ref, reason)
             job.gang_broken = True
-            self.stop_all(job, now, reason)
+            self.request_stop_of_all(job, now, reason)
 
     # -- reports -------------------------------------------------------------------------------
 
-    def adopt(self, name: str, type_name: str, zone: str, spot: bool, now: float, age_s: float | None) -> Machine:
+    def register_machine(
+        self, name: str, type_name: str, zone: str, spot: bool, now: float, age_s: float | None
+    ) -> Machine:
         """A machine that a report or the list shows; strangers are used or returned."""
         machine = self.machines.get(name)
         rented = now - (age_s if age_s is not None else 0.0)
@@ -179,21 +185,21 @@
             machine.type_name, machine.zone, machine.spot, machine.rented_at = type_name, zone, spot, rented
         if machine.type is None:
             machine.type = self.types.get(type_name)
-        for image, gb in self.known_images.pop(name, {}).items():
+        for image, gb in self.inherited_images.pop(name, {}).items():
             machine.remember_image(image, gb)
         return machine
 
     # -- machines ------------------------------------------------------------------------------
 
-    def machine_gone(self, machine: Machine, now: float) -> None:
+    def remove_machine(self, machine: Machine, now: float) -> None:
         """A deletion was answered: the machine and all that was on it are gone."""
         machine.move(MachineEvent.DELETED)
-        self.deleted[machine.name] = now
+        self.deleted_machines[machine.name] = now
         for task in list(machine.tasks.values()):
             job = task.job
             if task.state is TaskState.GONE:
                 continue  # taken back when its gang broke over another member on this machine
-            self.drop(task, TaskEvent.MACHINE_GONE, now)
+            self.transition_and_release(task, TaskEvent.MACHINE_GONE, now)
             if job.kind is Kind.GANG:
                 self.break_gang(job, now, f"{machine.name} is gone")
         self.machines.pop(machine.name, None)
@@ -201,7 +207,7 @@
 
     def estimate_s(self, job: Job) -> float:
         """A task's run time in s: the owner's estimate, corrected by what its class has shown."""
-        return job.spec.estimate_s * self.run_ratio.get(job.spec.job_class, 1.0)
+        return job.spec.estimate_s * self.runtime_ratio.get(job.spec.job_class, 1.0)
 
 
 def zone_counts(job: Job) -> dict[str, int]:
--- a/winglift/model/entities.py
+++ b/winglift/model/entities.py
@@ -9,15 +9,15 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from .. import constants as c
+from .. import constants
 from ..wire.cloud import MachineType
 from ..wire.users import Kind, Priority, Submission
-from .job import JOB_TRANSITIONS, DoneSet, JobEvent, JobState, since_cancelled
-from .machine import TRANSITIONS as MACHINE_TRANSITIONS
-from .machine import MachineEvent, MachineState
-from .task import PRESENT, TaskEvent, TaskState, next_state
+from .job_state import JOB_TRANSITIONS, CompletedTasks, JobEvent, JobState, seconds_since_cancelled
+from .machine_state import TRANSITIONS as MACHINE_TRANSITIONS
+from .machine_state import MachineEvent, MachineState
+from .task_state import PRESENT, TaskEvent, TaskState, next_state
 
-Sizes = tuple[float, float, float]  # CPUs, GPUs, GB of memory
+Resources = tuple[float, float, float]  # CPUs, GPUs, GB of memory
 
 
 @dataclass(slots=True, eq=False)
@@ -26,29 +26,29 @@
 
     ref: str
     spec: Submission
-    submitted: float  # time of day, from the node that accepted it
+    submitted_at: float  # time of day, from the node that accepted it
     version: int = 0  # revision of the record as last known
     state: JobState = JobState.OPEN
-    done: DoneSet = field(default_factory=lambda: DoneSet(0))
+    done: CompletedTasks = field(default_factory=lambda: CompletedTasks(0))
     next_attempt: int = 1
     active: dict[int, Task] = field(default_factory=dict)
     # what the committed record says: assignments by task number, and whether a task is done
-    recorded: dict[int, tuple[str, int]] = field(default_factory=dict)
-    recorded_state: JobState = JobState.OPEN
-    dirty: int = 0  # 0: as recorded; the smaller the number above it, the sooner it is written
-    writing: bool = False
-    pending: tuple[int, bytes] | None = None  # a change by others, seen while a write is under way
-    not_before: float = 0.0
-    failures: int = 0  # rounds of failed starts
+    committed_assignments: dict[int, tuple[str, int]] = field(default_factory=dict)
+    committed_state: JobState = JobState.OPEN
+    pending_write: int = 0  # 0: as recorded; the smaller the number above it, the sooner it is written
+    write_in_flight: bool = False
+    deferred_change: tuple[int, bytes] | None = None  # a change by others, seen while a write is under way
+    retry_not_before: float = 0.0
+    failed_rounds: int = 0  # rounds of failed starts
     failed_on: dict[str, None] = field(default_factory=dict)  # machines where a task failed, the latest last
-    proven: bool = False  # a task of it has completed
-    cancelled: float | None = None  # time of day, from the node that committed the cancellation
-    open_at: float = -math.inf  # steady time at which the job was surely not cancelled yet
-    open_before: float | None = None  # the same, noted when a change by others was put off for a write
+    has_completed_task: bool = False  # a task of it has completed
+    cancelled_at: float | None = None  # time of day, from the node that committed the cancellation
+    known_open_at: float = -math.inf  # steady time at which the job was surely not cancelled yet
+    known_open_before_write: float | None = None  # the same, noted when a change by others was put off for a write
     gang_started: bool = False  # the present attempt has been seen running
     gang_broken: bool = False
-    short_since: float = math.inf  # since when tasks of it have been waiting without a break
-    waits_since: float = 0.0  # when it was first seen, or its last attempt ended
+    unplaced_since: float = math.inf  # since when tasks of it have been waiting without a break
+    queued_since: float = 0.0  # when it was first seen, or its last attempt ended
 
     @property
     def kind(self) -> Kind:
@@ -65,9 +65,9 @@
         self.state = JOB_TRANSITIONS[self.state, event]
         return self.state
 
-    def mark(self, level: int) -> None:
+    def request_write(self, level: int) -> None:
         """Its record must be written; the smaller the level, the sooner."""
-        self.dirty = min(self.dirty, level) if self.dirty else level
+        self.pending_write = min(self.pending_write, level) if self.pending_write else level
 
     def waiting_tasks(self, most: int) -> list[int]:
         """Numbers of tasks that neither are done nor hold a place, lowest first."""
@@ -75,7 +75,7 @@
         if not self.is_open:
             return found
         above, active = self.done.above, self.active
-        for index in self.done.window():
+        for index in self.done.open_window():
             if index not in above and index not in active:
                 found.append(index)
                 if len(found) >= most:
@@ -83,25 +83,25 @@
         return found
 
     @property
-    def has_waiting(self) -> bool:
+    def has_waiting_tasks(self) -> bool:
         """Are there tasks that neither are done nor hold a place?"""
         return self.is_open and len(self.active) + len(self.done) < self.spec.tasks
 
-    def cancelled_for(self, now: float, wall: float, skew_s: float) -> float:
+    def seconds_since_cancelled(self, now: float, wall: float, skew_s: float) -> float:
         """At the most so many seconds ago its user was told that the job is cancelled; inf: nobody can tell.
 
         A successor knows it from the record, by the time of day: each of several leaders once counted from its own
         start, and the last one deleted the machines 12 s too late. Whoever has seen the job open since knows better: a
         transaction may be applied minutes after the time that it holds.
         """
-        return min(since_cancelled(self.cancelled, wall, skew_s), now - self.open_at)
+        return min(seconds_since_cancelled(self.cancelled_at, wall, skew_s), now - self.known_open_at)
 
     @property
     def grace_s(self) -> float:
         """Seconds that its tasks are given to save when they are stopped in order; 0: they save nothing."""
-        return self.spec.save_s + c.STOP_GRACE_MARGIN_S if self.spec.checkpoint_s > 0 else 0.0
+        return self.spec.save_s + constants.STOP_GRACE_MARGIN_S if self.spec.checkpoint_s > 0 else 0.0
 
-    def unfinished(self) -> int:
+    def unfinished_count(self) -> int:
         """Number of tasks that are not done."""
         return self.spec.tasks - len(self.done)
 
@@ -115,12 +115,12 @@
     attempt: int
     machine: Machine
     state: TaskState
-    since: float  # when the state last changed
+    state_since: float  # when the state last changed
     sent_session: int = 0
     sent_seq: int = 0
     running_since: float | None = None
-    stop_grace: float | None = None  # set once the task is told to stop
-    stop_at: float = 0.0  # when it was last told so directly
+    stop_grace_s: float | None = None  # set once the task is told to stop
+    stop_sent_at: float = 0.0  # when it was last told so directly
 
     @property
     def name(self) -> str:
@@ -132,58 +132,58 @@
         new = next_state(self.state, event)
         if new is not self.state:
             self.state = new
-            self.machine.touch()
-            self.since = now
+            self.machine.invalidate_usage()
+            self.state_since = now
             if new is TaskState.RUNNING and self.running_since is None:
                 self.running_since = now
             elif new in (TaskState.COMMITTED, TaskState.SENT):
                 self.running_since = None
         return new
 
-    def tell_stop(self, grace_s: float) -> None:
+    def mark_stopping(self, grace_s: float) -> None:
         """The one place where a task is marked to be stopped."""
-        self.stop_grace = grace_s
-        self.machine.touch()
+        self.stop_grace_s = grace_s
+        self.machine.invalidate_usage()
 
     @property
     def stopping(self) -> bool:
         """Has it been told to stop?"""
-        return self.stop_grace is not None
+        return self.stop_grace_s is not None
 
     @property
-    def replica(self) -> bool:
+    def is_running_replica(self) -> bool:
         """A running part of a service, which could be started elsewhere."""
         return not self.stopping and self.job.kind is Kind.SERVICE and self.state is TaskState.RUNNING
 
     @property
-    def yields(self) -> bool:
+    def preemptible(self) -> bool:
         """Could it be stopped to make room?"""
         return (
             not self.stopping
             and self.state in PRESENT
-            and not self.replica
+            and not self.is_running_replica
             and self.job.spec.priority is not Priority.PRODUCTION
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class MachineUsage:
     """What a machine's tasks take of it, and what of it might be free soon."""
 
     cpus: float
     gpus: float
     memory_gb: float
-    soon_cpus: float  # of tasks being stopped
-    soon_gpus: float
-    soon_memory_gb: float
-    stopping: dict[str, tuple[float, float]]  # team: CPUs and GPUs of tasks being stopped
+    releasing_cpus: float  # of tasks being stopped
+    releasing_gpus: float
+    releasing_memory_gb: float
+    stopping_by_team: dict[str, tuple[float, float]]  # team: CPUs and GPUs of tasks being stopped
     replicas: int  # running parts of services
-    yields: int  # tasks that could be stopped to make room
-    gives: tuple[Sizes, Sizes, Sizes]  # what they take: of rank 0, up to rank 1, up to rank 2
-    fixed: int  # the others
+    preemptible_tasks: int  # tasks that could be stopped to make room
+    preemptible_by_rank: tuple[Resources, Resources, Resources]  # what they take: of rank 0, up to rank 1, up to rank 2
+    pinned_tasks: int  # the others
     images: frozenset[str]  # that it holds or fetches
-    held: frozenset[str]  # that it holds
-    fetches: int  # images that it fetches, or will once the starts arrive
+    cached_images: frozenset[str]  # that it holds
+    pending_fetches: int  # images that it fetches, or will once the starts arrive
 
 
 @dataclass(slots=True, eq=False)
@@ -202,31 +202,31 @@
     session: int = 0
     seq: int = -1
     last_heard: float | None = None
-    unheeded: int = 0  # reports in a row that did not show the starts of an answer before them
-    deaf_since: float = 0.0
-    doubled: bool = False  # another one reports under its name: that was told
-    asked: float = -math.inf  # when a question was last sent to it
-    unanswered: float = -math.inf  # when a question was sent to it that it did not answer
-    taken_at: float | None = None  # when a notice runs out
+    unacknowledged_reports: int = 0  # reports in a row that did not show the starts of an answer before them
+    unresponsive_since: float = 0.0
+    duplicate_name_logged: bool = False  # another one reports under its name: that was told
+    probed_at: float = -math.inf  # when a question was last sent to it
+    probe_failed_at: float = -math.inf  # when a question was sent to it that it did not answer
+    reclaim_at: float | None = None  # when a notice runs out
     tasks: dict[tuple[str, int], Task] = field(default_factory=dict)
-    strangers: dict[tuple[str, int], int] = field(default_factory=dict)  # on it, in no record: attempt
+    unknown_tasks: dict[tuple[str, int], int] = field(default_factory=dict)  # on it, in no record: attempt
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)
-    blamed: dict[Job, int] = field(default_factory=dict)  # failed tasks since one completed there, per job
+    attributed_failures: dict[Job, int] = field(default_factory=dict)  # failed tasks since one completed there, per job
     idle_since: float | None = None
     drain_reason: str = ""
-    _load: Load | None = None
+    _usage: MachineUsage | None = None
 
-    def touch(self) -> None:
+    def invalidate_usage(self) -> None:
         """Its tasks or images have changed. Called by each function that changes a state, and by nothing else."""
-        self._load = None
+        self._usage = None
 
-    def load(self) -> Load:
+    def usage(self) -> MachineUsage:
         """Added up anew only after a change: most machines stay as they are from one cycle to the next."""
-        if self._load is None:
-            self._load = self._add_up()
-        return self._load
+        if self._usage is None:
+            self._usage = self._compute_usage()
+        return self._usage
 
-    def _add_up(self) -> Load:
+    def _compute_usage(self) -> MachineUsage:
         cpus = gpus = memory = soon_cpus = soon_gpus = soon_memory = 0.0
         replicas = yields = fixed = 0
         stopping: dict[str, tuple[float, float]] = {}
@@ -244,16 +244,16 @@
                 soon_memory += spec.memory_gb
                 before = stopping.get(spec.team, (0.0, 0.0))
                 stopping[spec.team] = (before[0] + spec.cpus, before[1] + spec.gpus)
-            elif task.replica:
+            elif task.is_running_replica:
                 replicas += 1
-            elif task.yields:
+            elif task.preemptible:
                 yields += 1
                 for rank in range(spec.priority.rank, 3):
                     had = by_rank[rank]
                     by_rank[rank] = had[0] + spec.cpus, had[1] + spec.gpus, had[2] + spec.memory_gb
             else:
                 fixed += 1
-        return Load(
+        return MachineUsage(
             cpus,
             gpus,
             memory,
@@ -275,12 +275,12 @@
         new = MACHINE_TRANSITIONS.get((self.state, event))
         if new is not None:
             if new is not self.state:
-                self.unheeded = 0
+                self.unacknowledged_reports = 0
             self.state = new
         return self.state
 
     @property
-    def usable(self) -> bool:
+    def accepts_tasks(self) -> bool:
         """May work be placed there?"""
         return self.state is MachineState.UP
 
@@ -292,4 +292,4 @@
         total = sum(self.images.values())
         while len(self.images) > 1 and total > room:
             total -= self.images.popitem(last=False)[1]
-        self.touch()
+        self.invalidate_usage()
--- a/winglift/model/imagebook.py
+++ b/winglift/model/image_cache_record.py
@@ -11,34 +11,34 @@
 
 import msgspec
 
-from .. import constants as c
+from .. import constants
 
 PREFIX = "image/"
 
 
-class Page(msgspec.Struct, frozen=True, rename={"names": "n", "sizes": "g", "held": "m"}):
+class ImageCacheRecord(msgspec.Struct, frozen=True, rename={"names": "n", "sizes": "g", "cached": "m"}):
     """`names` and `sizes` (GB) of images; per machine what it holds, by place there, the latest used last."""
 
     names: list[str]
     sizes: list[float]
-    held: dict[str, list[int]]
+    cached: dict[str, list[int]]
 
 
-_decoder = msgspec.json.Decoder(Page)
+_decoder = msgspec.json.Decoder(ImageCacheRecord)
 
 
-def page_of(machine: str) -> int:
+def record_number(machine: str) -> int:
     """The page a machine is on: the same for every leader, so that a page has one key."""
-    return crc32(machine.encode()) % c.IMAGE_PAGES
+    return crc32(machine.encode()) % constants.IMAGE_CACHE_RECORDS
 
 
 def pack(images: Mapping[str, Mapping[str, float]], most_bytes: int) -> dict[str, bytes]:
     """Key and value of every page. What does not fit into a value is left out: the least recently used images first."""
-    pages: dict[int, dict[str, list[tuple[str, float]]]] = defaultdict(dict)
+    records: dict[int, dict[str, list[tuple[str, float]]]] = defaultdict(dict)
     for machine in sorted(images):
-        pages[page_of(machine)][machine] = list(images[machine].items())
+        records[record_number(machine)][machine] = list(images[machine].items())
     found = {}
-    for number, held in pages.items():
+    for number, held in records.items():
         value = _encode(held)
         while len(value) > most_bytes and any(held.values()):
             longest = max(len(own) for own in held.values())
@@ -55,7 +55,7 @@
         sizes.update(own)
     place = {name: number for number, name in enumerate(sizes)}
     places = {machine: [place[name] for name, _ in own] for machine, own in held.items() if own}
-    return msgspec.json.encode(Page(list(sizes), [round(size, 3) for size in sizes.values()], places))
+    return msgspec.json.encode(ImageCacheRecord(list(sizes), [round(size, 3) for size in sizes.values()], places))
 
 
 def unpack(values: Iterable[bytes | msgspec.Raw]) -> dict[str, dict[str, float]]:
@@ -63,9 +63,9 @@
     images: dict[str, dict[str, float]] = {}
     for value in values:
         try:
-            page = _decoder.decode(value)
-            for machine, held in page.held.items():
-                images[machine] = {page.names[i]: page.sizes[i] for i in held}
+            record = _decoder.decode(value)
+            for machine, held in record.cached.items():
+                images[machine] = {record.names[i]: record.sizes[i] for i in held}
         except (msgspec.DecodeError, UnicodeDecodeError, IndexError):
             continue
     return images
--- a/winglift/model/job.py
+++ b/winglift/model/job_state.py
@@ -5,7 +5,7 @@
 import math
 from enum import Enum
 
-from .. import constants as c
+from .. import constants
 
 
 class JobState(Enum):
@@ -17,7 +17,7 @@
     CANCELLED = "c"
 
     @property
-    def final(self) -> bool:
+    def is_final(self) -> bool:
         """Ended by its record, for good and for every writer (invariant 4)."""
         return self in (JobState.DONE, JobState.CANCELLED)
 
@@ -41,7 +41,7 @@
 }
 
 
-def since_cancelled(cancelled: float | None, wall: float, skew_s: float) -> float:
+def seconds_since_cancelled(cancelled: float | None, wall: float, skew_s: float) -> float:
     """At the most so many seconds ago a user was told that a job is cancelled, by the time of day in its record.
 
     The time was read before the commit, the user is told after it, and two nodes' clocks are at most twice `skew_s`
@@ -50,35 +50,35 @@
     return wall - cancelled + 2 * skew_s if cancelled is not None else math.inf
 
 
-class DoneSet:
+class CompletedTasks:
     """Which tasks are done: all below `low`, and a set above it within the window."""
 
-    __slots__ = ("above", "count", "low")
+    __slots__ = ("above", "count", "first_open")
 
     def __init__(self, count: int, low: int = 0, above: set[int] | None = None) -> None:
         self.count = count
-        self.low = low
+        self.first_open = low
         self.above = above if above is not None else set()
 
     def __contains__(self, index: int) -> bool:
-        return index < self.low or index in self.above
+        return index < self.first_open or index in self.above
 
     def __len__(self) -> int:
-        return self.low + len(self.above)
+        return self.first_open + len(self.above)
 
     def add(self, index: int) -> None:
         """The task is done."""
         if index in self:
             return
         self.above.add(index)
-        while self.low in self.above:
-            self.above.remove(self.low)
-            self.low += 1
+        while self.first_open in self.above:
+            self.above.remove(self.first_open)
+            self.first_open += 1
 
     def complete(self) -> bool:
         """Are all tasks done?"""
-        return self.low >= self.count
+        return self.first_open >= self.count
 
-    def window(self) -> range:
+    def open_window(self) -> range:
         """The tasks that may be worked on: the bitmap in the record covers just these."""
-        return range(self.low, min(self.count, self.low + c.RECORD_WINDOW))
+        return range(self.first_open, min(self.count, self.first_open + constants.RECORD_WINDOW))
--- a/winglift/model/leadership.py
+++ b/winglift/model/leadership.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from .. import constants as c
+from .. import constants
 
 
 class Role(Enum):
@@ -57,9 +57,11 @@
         self.role = TRANSITIONS.get((self.role, event), self.role)
         return self.role
 
-    def extend(self, sent_at: float, ttl_s: float) -> None:
+    def extend_lease(self, sent_at: float, ttl_s: float) -> None:
         """The lease runs at least this long: counted from when the renewal was *sent*, by a clock that may be slow."""
-        self.valid_until = max(self.valid_until, sent_at + ttl_s * (1 - 2 * c.CLOCK_DRIFT) - c.LEADER_MARGIN_S)
+        self.valid_until = max(
+            self.valid_until, sent_at + ttl_s * (1 - 2 * constants.CLOCK_DRIFT) - constants.LEADER_MARGIN_S
+        )
 
     def entitled(self, now: float) -> bool:
         """May this node decide and command now? (invariant 1)"""
--- a/winglift/model/machine.py
+++ b/winglift/model/machine_state.py
@@ -11,7 +11,7 @@
     BOOTING = auto()  # rented, not heard of yet
     UP = auto()  # reports under the present term
     INHERITED = auto()  # known from records or the list, no report under the present term yet
-    DEAF = auto()  # its reports come, and our answers don't reach it: nothing new is placed there
+    UNRESPONSIVE = auto()  # its reports come, and our answers don't reach it: nothing new is placed there
     DRAINING = auto()  # noticed, faulty or to be returned: nothing new is placed there
     DELETING = auto()  # a deletion is under way
     GONE = auto()  # deletion answered
@@ -21,8 +21,8 @@
     """What moves a machine."""
 
     REPORT = auto()
-    UNHEEDED = auto()  # what it reports shows that our answers don't reach it
-    HEARS = auto()  # it has answered a question, or a start has shown
+    COMMANDS_IGNORED = auto()  # what it reports shows that our answers don't reach it
+    COMMANDS_ACKNOWLEDGED = auto()  # it has answered a question, or a start has shown
     DRAIN = auto()
     DELETE = auto()
     DELETE_FAILED = auto()
@@ -36,10 +36,10 @@
     (_S.UP, _E.REPORT): _S.UP,
     (_S.DRAINING, _E.REPORT): _S.DRAINING,
     (_S.DELETING, _E.REPORT): _S.DELETING,
-    (_S.UP, _E.UNHEEDED): _S.DEAF,
-    (_S.DEAF, _E.HEARS): _S.UP,
-    (_S.DEAF, _E.REPORT): _S.DEAF,
-    (_S.DEAF, _E.DRAIN): _S.DRAINING,
+    (_S.UP, _E.COMMANDS_IGNORED): _S.UNRESPONSIVE,
+    (_S.UNRESPONSIVE, _E.COMMANDS_ACKNOWLEDGED): _S.UP,
+    (_S.UNRESPONSIVE, _E.REPORT): _S.UNRESPONSIVE,
+    (_S.UNRESPONSIVE, _E.DRAIN): _S.DRAINING,
     (_S.UP, _E.DRAIN): _S.DRAINING,
     (_S.BOOTING, _E.DRAIN): _S.DRAINING,
     (_S.INHERITED, _E.DRAIN): _S.DRAINING,
@@ -49,5 +49,5 @@
     (_S.DELETING, _E.DELETE_FAILED): _S.DRAINING,
     (_S.DELETING, _E.DELETED): _S.GONE,
 }
-for _state in (_S.BOOTING, _S.INHERITED, _S.UP, _S.DEAF, _S.DRAINING, _S.DELETING):
+for _state in (_S.BOOTING, _S.INHERITED, _S.UP, _S.UNRESPONSIVE, _S.DRAINING, _S.DELETING):
     TRANSITIONS[_state, _E.DELETE] = _S.DELETING
--- a/winglift/model/records.py
+++ b/winglift/model/records.py
@@ -11,12 +11,12 @@
 from ..wire.state import Condition, Put
 from ..wire.users import Submission
 from .entities import Task
-from .job import DoneSet, JobState
-from .task import TaskState
+from .job_state import CompletedTasks, JobState
+from .task_state import TaskState
 
-JOB = "job/"
-LEADER = "leader"
-TERM = "term"
+JOB_PREFIX = "job/"
+LEADER_KEY = "leader"
+TERM_KEY = "term"
 
 
 class LeaderRecord(msgspec.Struct, frozen=True):
@@ -37,13 +37,13 @@
     omit_defaults=True,
     rename={
         "spec": "s",
-        "submitted": "t",
+        "submitted_at": "t",
         "state": "o",
         "next_attempt": "a",
-        "low": "l",
-        "bits": "b",
-        "places": "p",
-        "cancelled": "c",
+        "first_open": "l",
+        "done_bitmap": "b",
+        "assignments": "p",
+        "cancelled_at": "c",
     },
 ):
     """`places` groups tasks by machine and attempt: [machine, attempt, "0-3,7"].
@@ -52,38 +52,38 @@
     cancelled record without its time, from a version that did not write it, counts as cancelled long ago.
     """
 
-    submitted: float
+    submitted_at: float
     spec: Submission
     state: str = "o"
     next_attempt: int = 1
-    low: int = 0
-    bits: str = ""
-    places: list[tuple[str, int, str]] = []
-    cancelled: float | None = None
+    first_open: int = 0
+    done_bitmap: str = ""
+    assignments: list[tuple[str, int, str]] = []
+    cancelled_at: float | None = None
 
 
 _decoder = msgspec.json.Decoder(JobRecord)
 
 
-class BadRecord(ValueError):
+class InvalidRecord(ValueError):
     """A record that this program did not write."""
 
 
-class EndIsFinal(Exception):
+class FinalStateViolation(Exception):
     """A change that would take back an end which is recorded."""
 
 
-def change(ref: str, version: int, recorded: JobState, record: JobRecord) -> tuple[Condition, Put]:
+def record_change(ref: str, version: int, recorded: JobState, record: JobRecord) -> tuple[Condition, Put]:
     """The one place where a change of a job's record is made, from what it says at this version (0: it is new).
 
     No transaction can be built that replaces a recorded end by anything else (invariant 4), and the condition lets none
     replace what its writer has not read.
     """
-    if recorded.final and record.state != recorded.value:
-        raise EndIsFinal(f"{ref} is recorded as {recorded.name.lower()}")
+    if recorded.is_final and record.state != recorded.value:
+        raise FinalStateViolation(f"{ref} is recorded as {recorded.name.lower()}")
     if record.state not in (JobState.OPEN.value, JobState.DONE.value, JobState.CANCELLED.value):
-        raise BadRecord(f"{ref}: {record.state} is no state of a record")
-    return Condition(JOB + ref, version), Put(JOB + ref, record)
+        raise InvalidRecord(f"{ref}: {record.state} is no state of a record")
+    return Condition(JOB_PREFIX + ref, version), Put(JOB_PREFIX + ref, record)
 
 
 def pack_ranges(numbers: list[int]) -> str:
@@ -111,46 +111,46 @@
     return found
 
 
-def pack_done(done: DoneSet) -> tuple[int, str]:
+def pack_done(done: CompletedTasks) -> tuple[int, str]:
     """The lowest task that is not done, and a bitmap of those above it in base 64."""
     if not done.above:
-        return done.low, ""
-    bits = bytearray((max(done.above) - done.low) // 8 + 1)
+        return done.first_open, ""
+    bits = bytearray((max(done.above) - done.first_open) // 8 + 1)
     for number in done.above:
-        offset = number - done.low
+        offset = number - done.first_open
         bits[offset // 8] |= 1 << (offset % 8)
-    return done.low, b64encode(bytes(bits)).decode()
+    return done.first_open, b64encode(bytes(bits)).decode()
 
 
-def unpack_done(count: int, low: int, text: str) -> DoneSet:
+def unpack_done(count: int, low: int, text: str) -> CompletedTasks:
     """The reverse of `pack_done`. Raises ValueError."""
     above = set()
     for place, byte in enumerate(b64decode(text)):
         for bit in range(8):
             if byte >> bit & 1:
                 above.add(low + place * 8 + bit)
-    return DoneSet(count, low, above)
+    return CompletedTasks(count, low, above)
 
 
 @dataclass(slots=True)
-class Loaded:
+class UnpackedRecord:
     """A record, unpacked."""
 
     spec: Submission
-    submitted: float
+    submitted_at: float
     state: JobState
     next_attempt: int
-    done: DoneSet
-    places: dict[int, tuple[str, int]]  # task number: machine, attempt
-    cancelled: float | None = None
+    done: CompletedTasks
+    assignments: dict[int, tuple[str, int]]  # task number: machine, attempt
+    cancelled_at: float | None = None
 
 
-def fresh(spec: Submission, submitted: float) -> JobRecord:
+def new_record(spec: Submission, submitted: float) -> JobRecord:
     """The record of a new job."""
-    return JobRecord(submitted=submitted, spec=spec)
+    return JobRecord(submitted_at=submitted, spec=spec)
 
 
-def pack_places(tasks: dict[int, Task]) -> list[tuple[str, int, str]]:
+def pack_assignments(tasks: dict[int, Task]) -> list[tuple[str, int, str]]:
     """Places by machine and attempt, without tasks that are proven off."""
     groups: dict[tuple[str, int], list[int]] = defaultdict(list)
     for number, task in tasks.items():
@@ -164,29 +164,35 @@
     try:
         return _decoder.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
-        raise BadRecord(str(err)) from None
+        raise InvalidRecord(str(err)) from None
 
 
-def unpack(record: JobRecord) -> Loaded:
+def unpack(record: JobRecord) -> UnpackedRecord:
     """A record taken apart. Raises BadRecord."""
     try:
-        places = {n: (name, attempt) for name, attempt, text in record.places for n in unpack_ranges(text)}
-        done = unpack_done(record.spec.tasks, record.low, record.bits)
-        return Loaded(
-            record.spec, record.submitted, JobState(record.state), record.next_attempt, done, places, record.cancelled
+        places = {n: (name, attempt) for name, attempt, text in record.assignments for n in unpack_ranges(text)}
+        done = unpack_done(record.spec.tasks, record.first_open, record.done_bitmap)
+        return UnpackedRecord(
+            record.spec,
+            record.submitted_at,
+            JobState(record.state),
+            record.next_attempt,
+            done,
+            places,
+            record.cancelled_at,
         )
     except ValueError as err:
-        raise BadRecord(str(err)) from None
+        raise InvalidRecord(str(err)) from None
 
 
 def done_count(record: JobRecord) -> int:
     """Number of tasks that are done."""
-    return record.low + sum(byte.bit_count() for byte in b64decode(record.bits))
+    return record.first_open + sum(byte.bit_count() for byte in b64decode(record.done_bitmap))
 
 
-def held_count(record: JobRecord) -> int:
+def assigned_count(record: JobRecord) -> int:
     """Number of tasks that hold a place."""
-    return sum(len(unpack_ranges(text)) for _, _, text in record.places)
+    return sum(len(unpack_ranges(text)) for _, _, text in record.assignments)
 
 
 def encode(record: JobRecord) -> bytes:
--- a/winglift/model/task.py
+++ b/winglift/model/task_state.py
@@ -35,7 +35,7 @@
     MACHINE_GONE = auto()  # deletion answered
 
 
-class WrongEvent(Exception):
+class InvalidTransition(Exception):
     """An event that the state does not allow."""
 
 
@@ -76,4 +76,4 @@
     try:
         return TRANSITIONS[state, event]
     except KeyError:
-        raise WrongEvent(f"{event.name} in {state.name}") from None
+        raise InvalidTransition(f"{event.name} in {state.name}") from None
--- a/winglift/net/client.py
+++ b/winglift/net/client.py
@@ -17,7 +17,7 @@
 from tornado.http1connection import HTTP1Connection, HTTP1ConnectionParameters
 from tornado.iostream import IOStream, StreamClosedError
 
-from .. import constants as c
+from .. import constants
 
 log = logging.getLogger(__name__)
 
@@ -76,7 +76,7 @@
 
     host: str
     port: int
-    most: int = c.POOL_PER_HOST
+    most: int = constants.POOL_PER_HOST
     _free: deque[_Kept] = field(default_factory=deque)
 
     async def _connect(self) -> IOStream:
@@ -96,7 +96,7 @@
         now = time.monotonic()
         while self._free:
             kept = self._free.pop()
-            if kept.stream.closed() or now - kept.since > c.POOL_IDLE_S:
+            if kept.stream.closed() or now - kept.since > constants.POOL_IDLE_S:
                 kept.stream.close()
                 continue
             return kept.stream
--- a/winglift/net/outside.py
+++ b/winglift/net/runtime.py
@@ -60,16 +60,16 @@
 OnStream = Callable[[Any, tuple], Awaitable[None]]
 
 
-class Outside(Protocol):
-    def steady(self) -> float:
+class Runtime(Protocol):
+    def monotonic_time(self) -> float:
         """Seconds of a clock that never goes back, from an unknown beginning."""
         ...
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """The time of day, seconds since 1970, within `skew_ms` of the true one."""
         ...
 
-    def chance(self) -> random.Random: ...
+    def random_source(self) -> random.Random: ...
 
     def client(self, host: str, port: int, most: int | None = None) -> Requests:
         """`most`: connections kept for later requests."""
@@ -143,16 +143,16 @@
         return self._on_stream(stream, address)
 
 
-class Sockets:
+class SystemRuntime:
     """The machine that the process runs on."""
 
-    def steady(self) -> float:
+    def monotonic_time(self) -> float:
         return time.monotonic()
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         return time.time()
 
-    def chance(self) -> random.Random:
+    def random_source(self) -> random.Random:
         return random.Random()
 
     def client(self, host: str, port: int, most: int | None = None) -> Requests:
@@ -178,22 +178,22 @@
         return server.stop
 
 
-_here: ContextVar[Outside] = ContextVar("outside", default=Sockets())  # noqa: B039 (it has no state of its own)
+_here: ContextVar[Runtime] = ContextVar("outside", default=SystemRuntime())  # noqa: B039 (it has no state of its own)
 
 
-def here() -> Outside:
+def current_runtime() -> Runtime:
     """The outside of the node to which the running code belongs."""
     return _here.get()
 
 
-def enter(outside: Outside) -> None:
+def use_runtime(outside: Runtime) -> None:
     """From now on, code of this context and what it starts sees this outside."""
     _here.set(outside)
 
 
-def steady() -> float:
-    return _here.get().steady()
+def monotonic_time() -> float:
+    return _here.get().monotonic_time()
 
 
-def wall() -> float:
-    return _here.get().wall()
+def wall_time() -> float:
+    return _here.get().wall_time()
--- /dev/null
+++ b/winglift/policy/placement_state.py
@@ -0,0 +1,129 @@
+"""What all parts of one cycle share: its rooms, what was decided so far, and what the teams' limits leave."""
+
+from __future__ import annotations
+
+import math
+
+from ..model.quota import AMOUNT_TOLERANCE
+from .preemption import Preemption
+from .renting import Renting
+from .search import FailedSearches
+from .snapshot import Demand, FreeCapacity, Plan, Snapshot
+
+
+class PlacementState:
+    """The rooms of this cycle, and the parts that decide about them."""
+
+    def __init__(self, snapshot: Snapshot) -> None:
+        self.snapshot = snapshot
+        self.plan = Plan()
+        self.capacities = snapshot.capacities
+        self.running = [r for r in self.capacities if r.ready_in <= 0]
+        self.booting = sorted((r for r in self.capacities if r.ready_in > 0), key=lambda r: r.ready_in)
+        self.preemption = Preemption(snapshot.quota, self.plan)
+        self.renting = Renting(snapshot, self.plan, self.booting)
+        self.failed_searches = FailedSearches()
+        self._with_free_gpus: dict[tuple[str | None, int], list[FreeCapacity]] = {}
+        self._with_image: dict[str, list[FreeCapacity]] = {}
+
+    def with_image(self, image: str) -> list[FreeCapacity]:
+        """The running machines that hold or fetch this image."""
+        found = self._with_image.get(image)
+        if found is None:
+            found = self._with_image[image] = [r for r in self.running if image in r.images]
+        return found
+
+    def with_free_gpus(self, image: str | None, soon: bool) -> list[FreeCapacity]:
+        """The machines, or those with an image, that have any GPU free, or soon: on a busy fleet few of many.
+
+        Rooms only fill up while tasks are placed one by one; stops make the list anew.
+        """
+        key = image, len(self.plan.stops) if soon else -1
+        found = self._with_free_gpus.get(key)
+        if found is None:
+            capacities = self.running if image is None else self.with_image(image)
+            found = self._with_free_gpus[key] = [
+                r for r in capacities if r.gpus + (r.releasing_gpus if soon else 0.0) > AMOUNT_TOLERANCE
+            ]
+        return found
+
+    def search_stage(self, soon: bool, coming: bool) -> tuple[int, int]:
+        """Changes whenever there may be new room of such a sort: by stops, or by rentals."""
+        return (len(self.plan.stops) if soon else -1, len(self.plan.rentals) if coming else -1)
+
+    def must_start(self, demand: Demand) -> bool:
+        """May the task wait no longer? Work within its team's guarantee need not wait for others: it lends no slack."""
+        return demand.within_guarantee or self.renting.slack_exhausted(demand)
+
+
+class QuotaBudget:
+    """What the teams' limits leave, and what was given of it in this cycle."""
+
+    def __init__(self, placement: PlacementState) -> None:
+        self.placement = placement
+        self.spent: dict[str, tuple[float, float]] = {}  # team: amounts already given in this cycle
+
+    def tasks_allowed(self, demand: Demand) -> int:
+        """Tasks of this need that its team's limit still allows."""
+        spec, quota = demand.spec, self.placement.snapshot.quota
+        given = self.spent.get(spec.team, (0.0, 0.0))
+        team = quota.teams.get(spec.team)
+        if team is None:
+            return 0
+        used = quota.used[spec.team]
+        most = 1_000_000
+        for cap, want, has in (
+            (team.cpus_max, spec.cpus, used.cpus + given[0]),
+            (team.gpus_max, spec.gpus, used.gpus + given[1]),
+        ):
+            if cap > 0 and want > 0:
+                most = min(most, math.floor((cap - has + AMOUNT_TOLERANCE) / want))
+        return max(0, most)
+
+    def spend(self, demand: Demand, tasks: int) -> None:
+        """Count this many tasks of a need against its team's limit for the rest of the cycle."""
+        cpus, gpus = self.spent.get(demand.spec.team, (0.0, 0.0))
+        self.spent[demand.spec.team] = (cpus + demand.spec.cpus * tasks, gpus + demand.spec.gpus * tasks)
+
+    def preempt_within_team(self, demand: Demand, tasks: int) -> None:
+        """A team's own work of lower priority gives way when the team's limit leaves no room.
+
+        The room is kept for the work it was made for: freed a task at a time, it was once taken by the team's next
+        small tasks, which were stopped in turn, 600 times in 50 s. What can't suffice is not stopped at all.
+        """
+        spec, snapshot, preemption = demand.spec, self.placement.snapshot, self.placement.preemption
+        team = snapshot.quota.teams.get(spec.team)
+        if team is None or spec.priority.rank == 0:
+            return
+        mine = []
+        for capacity in self.placement.running:
+            if capacity.preemptible_tasks:
+                capacity.inspect()
+                mine += [
+                    (v, capacity)
+                    for v in capacity.victims
+                    if v.team == spec.team
+                    and v.rank < spec.priority.rank
+                    and v.precedence < demand.precedence
+                    and (v.ref, v.index) not in preemption.stopped
+                ]
+        mine.sort(key=lambda pair: (pair[0].precedence, pair[0].lost_work_s * pair[0].gang_size))
+        used, given = snapshot.quota.used[spec.team], self.spent.get(spec.team, (0.0, 0.0))
+        gpus = used.gpus + given[1] + spec.gpus * tasks - team.gpus_max if team.gpus_max > 0 else 0.0
+        cpus = used.cpus + given[0] + spec.cpus * tasks - team.cpus_max if team.cpus_max > 0 else 0.0
+        gpus -= snapshot.stopping_gpus.get(spec.team, 0.0)
+        cpus -= snapshot.stopping_cpus.get(spec.team, 0.0)
+        if (
+            gpus > sum(v.gpus for v, _ in mine) + AMOUNT_TOLERANCE
+            or cpus > sum(v.cpus for v, _ in mine) + AMOUNT_TOLERANCE
+        ):
+            return
+        self.spend(demand, tasks)
+        for victim, capacity in mine:
+            if gpus <= AMOUNT_TOLERANCE and cpus <= AMOUNT_TOLERANCE:
+                return
+            if not ((gpus > AMOUNT_TOLERANCE and victim.gpus > 0) or (cpus > AMOUNT_TOLERANCE and victim.cpus > 0)):
+                continue
+            preemption.stop(victim, capacity, demand)
+            gpus -= victim.gpus
+            cpus -= victim.cpus
--- a/winglift/policy/plan.py
+++ b/winglift/policy/plan.py
@@ -8,269 +8,286 @@
 
 from __future__ import annotations
 
-from .. import constants as c
+from .. import constants
 from ..wire.users import Kind
-from . import worth
-from .board import Board, Limits
-from .gangs import Gangs
-from .guests import make_way, take_elsewhere
-from .holding import hold
-from .preemption import Offers
-from .reserve import Reserves
+from . import cost_model
+from .gangs import GangPlacer
+from .placement_state import PlacementState, QuotaBudget
+from .preemption import PreemptionCandidates
+from .replica_relocation import allocate_elsewhere, relocate_replicas
+from .reservation import reserve_for_largest
 from .search import Search
-from .snapshot import Need, Plan, Room, Snapshot, fetch_s
+from .snapshot import Demand, FreeCapacity, Plan, Snapshot, fetch_s
+from .warm_pool import WarmPool
 
 
-def order(need: Need) -> tuple[bool, bool, int, float, str]:
+def scheduling_order(demand: Demand) -> tuple[bool, bool, int, float, str]:
     """Earliest sub-deadline first; work that may preempt other work goes before it, or it would stop it next.
 
     Without that, borrowed work took the room that had just been made for a guarantee, again and again.
     """
-    production, within, rank = need.claim
-    return not production, not within, -rank, need.sub_deadline, need.ref
+    production, within, rank = demand.precedence
+    return not production, not within, -rank, demand.sub_deadline, demand.ref
 
 
-class Singles:
+class TaskPlacer:
     """Arrays and services: every task for itself. One object places the tasks of one need."""
 
-    def __init__(self, board: Board, need: Need) -> None:
-        self.board = board
-        self.need = need
-        self.placed = dict(need.zones)
+    def __init__(self, placement: PlacementState, demand: Demand) -> None:
+        self.placement = placement
+        self.demand = demand
+        self.placed = dict(demand.zones)
         self.starts: list[tuple[int, str]] = []
         self.promised = 0
         self._searches: dict[tuple[str, bool], Search] = {}
-        self._all_offers: dict[str, Offers] = {}
+        self._all_candidates: dict[str, PreemptionCandidates] = {}
 
-    def _rooms(self, which: str) -> list[Room]:
-        board = self.board
+    def _capacities_of(self, which: str) -> list[FreeCapacity]:
+        placement = self.placement
         return (
-            board.coming if which == "coming" else board.up if which == "up" else board.with_image(self.need.spec.image)
+            placement.booting
+            if which == "coming"
+            else placement.running
+            if which == "up"
+            else placement.with_image(self.demand.spec.image)
         )
 
-    def _has(self, which: str, room: Room) -> bool:
+    def _belongs_to(self, which: str, capacity: FreeCapacity) -> bool:
         """Does a room belong to that part of the machines?"""
         if which == "coming":
-            return room.ready_in > 0
-        return room.ready_in <= 0 and (which == "up" or self.need.spec.image in room.images)
+            return capacity.ready_in > 0
+        return capacity.ready_in <= 0 and (which == "up" or self.demand.spec.image in capacity.images)
 
     def _search(self, which: str, soon: bool = False) -> Search:
         found = self._searches.get((which, soon))
         if found is None:
-            board, spec = self.board, self.need.spec
-            where = (which, board.stage(soon, which == "coming"))
-            hopeless = which != "warm" and board.misses.known(where, spec)
-            rooms = () if hopeless else self._rooms(which)
-            if rooms and which != "coming" and spec.gpus > 0:
-                rooms = board.roomy(spec.image if which == "warm" else None, soon)
-            found = Search(self.need, rooms, board.snap.now, soon)
+            placement, spec = self.placement, self.demand.spec
+            where = (which, placement.search_stage(soon, which == "coming"))
+            hopeless = which != "warm" and placement.failed_searches.known_to_fail(where, spec)
+            capacities = () if hopeless else self._capacities_of(which)
+            if capacities and which != "coming" and spec.gpus > 0:
+                capacities = placement.with_free_gpus(spec.image if which == "warm" else None, soon)
+            found = Search(self.demand, capacities, placement.snapshot.now, soon)
             if found.none_fits and not hopeless and which != "warm":
-                board.misses.add(where, spec)
+                placement.failed_searches.add(where, spec)
             self._searches[which, soon] = found
         return found
 
-    def _offers(self, which: str) -> Offers:
-        found = self._all_offers.get(which)
+    def _candidates(self, which: str) -> PreemptionCandidates:
+        found = self._all_candidates.get(which)
         if found is None:
-            board, need = self.board, self.need
-            where = ("offers", board.preemption.kind(need))
-            hopeless = board.misses.known(where, need.spec)
-            found = Offers(board.preemption, need, () if hopeless else self._rooms(which), frail=which == "up")
-            if which == "up" and found.none and not hopeless:
-                board.misses.add(where, need.spec)
-            self._all_offers[which] = found
+            placement, demand = self.placement, self.demand
+            where = ("offers", placement.preemption.equivalence_class(demand))
+            hopeless = placement.failed_searches.known_to_fail(where, demand.spec)
+            found = PreemptionCandidates(
+                placement.preemption, demand, () if hopeless else self._capacities_of(which), frail=which == "up"
+            )
+            if which == "up" and found.is_empty and not hopeless:
+                placement.failed_searches.add(where, demand.spec)
+            self._all_candidates[which] = found
         return found
 
-    def _take(self, room: Room) -> None:
-        room.take(self.need.spec)
-        self.placed[room.zone] = self.placed.get(room.zone, 0) + 1
+    def _start_on(self, capacity: FreeCapacity) -> None:
+        capacity.allocate(self.demand.spec)
+        self.placed[capacity.zone] = self.placed.get(capacity.zone, 0) + 1
         for (which, _), search in self._searches.items():
-            if self._has(which, room):
-                search.changed(room)
-        for offers in self._all_offers.values():
-            offers.changed(room)
+            if self._belongs_to(which, capacity):
+                search.changed(capacity)
+        for offers in self._all_candidates.values():
+            offers.changed(capacity)
 
-    def _promise(self, room: Room, why: str) -> None:
+    def _reserve_until_ready(self, capacity: FreeCapacity, why: str) -> None:
         """Keep room for a task that can't start yet, so that later tasks don't count on it too."""
-        self._take(room)
+        self._start_on(capacity)
         self.promised += 1
-        self.board.plan.waiting[self.need.ref] = why
+        self.placement.plan.waiting[self.demand.ref] = why
 
-    def _being_made(self, which: str) -> Room | None:
+    def _released_soon(self, which: str) -> FreeCapacity | None:
         """Room that stops of this or an earlier cycle leave, or that one more stop would leave."""
-        room = self._search(which, soon=True).best(self.placed)
-        if room is not None or self.need.patient:
-            return room
-        return self._offers(which).take(self.placed)
+        capacity = self._search(which, soon=True).best(self.placed)
+        if capacity is not None or self.demand.defers_preemption:
+            return capacity
+        return self._candidates(which).preempt_cheapest(self.placed)
 
-    def _too_cold(self, room: Room) -> bool:
-        return self.need.spec.due_s is None and fetch_s(room, self.need.spec) > c.FETCH_WORTH_S
+    def _fetch_too_long(self, capacity: FreeCapacity) -> bool:
+        return self.demand.spec.due_s is None and fetch_s(capacity, self.demand.spec) > constants.FETCH_WORTH_S
 
     def place(self, index: int, must: bool) -> bool:
         """One task; or False when the need's other tasks would fare no better."""
-        board, need = self.board, self.need
-        room = self._search("up").best(self.placed)
-        if room is not None and self._too_cold(room):
+        placement, demand = self.placement, self.demand
+        capacity = self._search("up").best(self.placed)
+        if capacity is not None and self._fetch_too_long(capacity):
             # Work due now starts sooner where its image is, even if something must stop for it.
-            better = self._being_made("warm")
-            if better is not None and need.guest(better) <= need.guest(room):
-                self._promise(better, "room is being made")
+            better = self._released_soon("warm")
+            if better is not None and demand.would_occupy_gpu_machine(better) <= demand.would_occupy_gpu_machine(
+                capacity
+            ):
+                self._reserve_until_ready(better, "room is being made")
                 return True
-        if room is not None:
-            self._take(room)
-            self.starts.append((index, room.name))
+        if capacity is not None:
+            self._start_on(capacity)
+            self.starts.append((index, capacity.name))
             return True
-        room = self._being_made("up")
-        if room is not None:
-            self._promise(room, "room is being made")
+        capacity = self._released_soon("up")
+        if capacity is not None:
+            self._reserve_until_ready(capacity, "room is being made")
             return True
-        if need.patient and board.preemption.hopes(need, board.up):
+        if demand.defers_preemption and placement.preemption.may_preempt_somewhere(demand, placement.running):
             # Thousands of short tasks end every minute. Stopping others for what the next ends would give cost some
             # 11 stops a second on a busy day, each a record's change, a save and often a fetch.
-            board.plan.waiting[need.ref] = "others' ends"
+            placement.plan.waiting[demand.ref] = "others' ends"
             return False
-        if not must or need.probe:
-            board.plan.waiting[need.ref] = "its next try" if need.probe else "slack"
+        if not must or demand.is_probe:
+            placement.plan.waiting[demand.ref] = "its next try" if demand.is_probe else "slack"
             return False
-        room = self._search("coming").best(self.placed)
-        if room is None and board.snap.may_rent:
-            room = board.renting.rent(need, self.placed)
-        if room is None:
-            way = need.spec.kind is Kind.GANG and make_way(board, need)
-            board.plan.waiting[need.ref] = "replicas move out of its way" if way else "nothing to rent"
+        capacity = self._search("coming").best(self.placed)
+        if capacity is None and placement.snapshot.may_rent:
+            capacity = placement.renting.rent(demand, self.placed)
+        if capacity is None:
+            way = demand.spec.kind is Kind.GANG and relocate_replicas(placement, demand)
+            placement.plan.waiting[demand.ref] = "replicas move out of its way" if way else "nothing to rent"
             return False
-        self._promise(room, "machines are booting")
+        self._reserve_until_ready(capacity, "machines are booting")
         return True
 
-    def run(self, limits: Limits) -> None:
+    def run(self, limits: QuotaBudget) -> None:
         """Place the need's tasks one by one as far as its team's limit and the rooms allow."""
-        need, plan = self.need, self.board.plan
-        room_left = limits.room(need)
-        must = self.board.must_start(need)
-        for index in need.indices:
+        demand, plan = self.demand, self.placement.plan
+        room_left = limits.tasks_allowed(demand)
+        must = self.placement.must_start(demand)
+        for index in demand.indices:
             taken = len(self.starts) + self.promised
             if taken >= room_left:
-                if not need.probe:
-                    limits.spend(need, taken)
-                    limits.make_room(need, len(need.indices) - taken)
-                    limits.spend(need, -taken)
-                plan.waiting[need.ref] = "team limit"
+                if not demand.is_probe:
+                    limits.spend(demand, taken)
+                    limits.preempt_within_team(demand, len(demand.indices) - taken)
+                    limits.spend(demand, -taken)
+                plan.waiting[demand.ref] = "team limit"
                 break
             if not self.place(index, must):
                 break
         # Tasks that wait for promised room keep their part of the team's limit as well.
-        limits.spend(need, len(self.starts) + self.promised)
+        limits.spend(demand, len(self.starts) + self.promised)
         if self.starts:
-            plan.starts.append((need.ref, self.starts))
+            plan.starts.append((demand.ref, self.starts))
 
 
-def gang(board: Board, limits: Limits, gangs: Gangs, need: Need) -> None:
+def place_gang(placement: PlacementState, limits: QuotaBudget, gangs: GangPlacer, demand: Demand) -> None:
     """All tasks find a place or none takes one, so that two gangs never hold halves."""
-    plan = board.plan
-    if limits.room(need) < len(need.indices):
-        if not need.probe:
-            limits.make_room(need, len(need.indices))
-        plan.waiting[need.ref] = "team limit"
+    plan = placement.plan
+    if limits.tasks_allowed(demand) < len(demand.indices):
+        if not demand.is_probe:
+            limits.preempt_within_team(demand, len(demand.indices))
+        plan.waiting[demand.ref] = "team limit"
         return
-    found = gangs.rooms(need, soon=False)
-    if found is not None and gangs.too_cold(need, found):
-        gangs.leave(need, found)
-        if gangs.preempt(need, warm=True):
-            plan.waiting[need.ref] = "room is being made beside its image"
-            limits.spend(need, len(need.indices))
+    found = gangs.allocate_all(demand, soon=False)
+    if found is not None and gangs.fetch_too_long(demand, found):
+        gangs.deallocate_all(demand, found)
+        if gangs.preempt(demand, warm=True):
+            plan.waiting[demand.ref] = "room is being made beside its image"
+            limits.spend(demand, len(demand.indices))
             return
-        found = gangs.rooms(need, soon=False)
+        found = gangs.allocate_all(demand, soon=False)
     if found is not None:
-        limits.spend(need, len(found))
-        plan.starts.append((need.ref, list(zip(need.indices, [r.name for r in found], strict=True))))
+        limits.spend(demand, len(found))
+        plan.starts.append((demand.ref, list(zip(demand.indices, [r.name for r in found], strict=True))))
         return
-    soon = gangs.rooms(need, soon=True)
+    soon = gangs.allocate_all(demand, soon=True)
     if soon is not None:
         why = "room is being made"
-        if need.keeps:
-            plan.kept[need.ref] = sorted({r.name for r in soon})
-    elif gangs.preempt(need) or (need.late and gangs.preempt(need, displace=True)):
+        if demand.has_reservation:
+            plan.reservations[demand.ref] = sorted({r.name for r in soon})
+    elif gangs.preempt(demand) or (demand.may_displace and gangs.preempt(demand, displace=True)):
         why = "room is being made"
-    elif not board.must_start(need) or need.probe:
-        plan.waiting[need.ref] = "its next try" if need.probe else "slack"
+    elif not placement.must_start(demand) or demand.is_probe:
+        plan.waiting[demand.ref] = "its next try" if demand.is_probe else "slack"
         return
-    elif gangs.rooms(need, soon=True, coming=True) is not None or (
-        board.snap.may_rent and need.may_rent and gangs.rent(need)
+    elif gangs.allocate_all(demand, soon=True, coming=True) is not None or (
+        placement.snapshot.may_rent and demand.may_rent and gangs.rent(demand)
     ):
         why = "machines are booting"
-    elif make_way(board, need):
+    elif relocate_replicas(placement, demand):
         why = "replicas move out of its way"
     else:
-        plan.waiting[need.ref] = "nothing to rent"
+        plan.waiting[demand.ref] = "nothing to rent"
         return
-    plan.waiting[need.ref] = why
+    plan.waiting[demand.ref] = why
     # The room under the team's limit is kept too, or its lower work takes it and is stopped again.
-    limits.spend(need, len(need.indices))
+    limits.spend(demand, len(demand.indices))
 
 
-def consolidate(board: Board, reserves: Reserves) -> str | None:
+def consolidate(placement: PlacementState, reserves: WarmPool) -> str | None:
     """The emptiest machine whose replicas would all fit on others that hold their images."""
-    snap = board.snap
-    if not snap.may_move or board.plan.waiting or board.plan.rentals or board.coming:
+    snapshot = placement.snapshot
+    if not snapshot.may_migrate or placement.plan.waiting or placement.plan.rentals or placement.booting:
         return None
-    candidates = [r for r in board.up if r.replicas and not r.fixed and not r.yields]
-    others = [r for r in board.up if not r.empty]
+    candidates = [r for r in placement.running if r.replica_count and not r.pinned_tasks and not r.preemptible_tasks]
+    others = [r for r in placement.running if not r.empty]
     tried = 0
     # Few replicas are quickly moved; few images are little lost for later starts.
     # What stands on a machine that others need more goes first, then what pays most.
-    for room in sorted(
+    for capacity in sorted(
         candidates,
-        key=lambda r: (r.type.gpus <= 0, r.replicas / max(r.type.price, c.PRICE_LEAST), len(r.images), r.name),
+        key=lambda r: (
+            r.type.gpus <= 0,
+            r.replica_count / max(r.type.price, constants.PRICE_MIN),
+            len(r.images),
+            r.name,
+        ),
     ):
-        room.look()
-        if any(m.ran_s < c.MOVE_AFTER_S for m in room.movers):
+        capacity.inspect()
+        if any(m.ran_s < constants.MIGRATION_AFTER_S for m in capacity.movable_replicas):
             continue
         tried += 1
-        if tried > c.MOVE_CANDIDATES:
+        if tried > constants.MIGRATION_CANDIDATES:
             return None
-        taken = take_elsewhere(board, room, room.movers, [r for r in others if r.spot == room.spot], warm=True)
-        fits = len(taken) == len(room.movers) and reserves.covered(r for r in others if r is not room)
-        for mover, target in taken:
-            target.give(mover.spec)
+        taken = allocate_elsewhere(
+            placement, capacity, capacity.movable_replicas, [r for r in others if r.spot == capacity.spot], warm=True
+        )
+        fits = len(taken) == len(capacity.movable_replicas) and reserves.covered_by(
+            r for r in others if r is not capacity
+        )
+        for replica, target in taken:
+            target.deallocate(replica.spec)
         if fits:
-            return room.name
+            return capacity.name
     return None
 
 
-def rescue(board: Board) -> None:
+def restart_near_image(placement: PlacementState) -> None:
     """Replicas whose fetch drags on start anew beside their image, once there is room there or may be.
 
     Images that are fetched at the same time share a machine's rate: a replica once waited 70 s for an image of 12 GB,
     while a machine of its zone came to hold it after 20 s.
     """
-    for stuck in board.snap.stuck:
-        need = stuck.need
-        warm = [r for r in board.with_image(need.spec.image) if need.spec.image in r.held]
-        room = Search(need, warm, board.snap.now).best(need.zones) or Offers(
-            board.preemption, need, warm, frail=False
-        ).take(need.zones)
-        if room is not None:
-            room.take(need.spec)
-            board.plan.rescues.append((need.ref, stuck.index))
+    for stalled in placement.snapshot.stalled_replicas:
+        demand = stalled.demand
+        warm = [r for r in placement.with_image(demand.spec.image) if demand.spec.image in r.cached_images]
+        capacity = Search(demand, warm, placement.snapshot.now).best(demand.zones) or PreemptionCandidates(
+            placement.preemption, demand, warm, frail=False
+        ).preempt_cheapest(demand.zones)
+        if capacity is not None:
+            capacity.allocate(demand.spec)
+            placement.plan.image_restarts.append((demand.ref, stalled.index))
 
 
-def make_plan(snap: Snapshot) -> Plan:
+def make_plan(snapshot: Snapshot) -> Plan:
     """One cycle's decisions (EPSM, section 4): starts, stops, moves, rentals and what may be returned."""
-    board = Board(snap)
-    limits, gangs = Limits(board), Gangs(board)
-    for need in snap.needs + [stuck.need for stuck in snap.stuck]:
-        need.plain = worth.plain(need.spec, snap.types)
-    hold(board)
-    for need in sorted(snap.needs, key=order):
-        if need.spec.kind is Kind.GANG and need.spec.tasks > 1:
-            gang(board, limits, gangs, need)
+    placement = PlacementState(snapshot)
+    limits, gangs = QuotaBudget(placement), GangPlacer(placement)
+    for demand in snapshot.demands + [stalled.demand for stalled in snapshot.stalled_replicas]:
+        demand.prefers_cpu_machines = cost_model.prefers_cpu_machines(demand.spec, snapshot.types)
+    reserve_for_largest(placement)
+    for demand in sorted(snapshot.demands, key=scheduling_order):
+        if demand.spec.kind is Kind.GANG and demand.spec.tasks > 1:
+            place_gang(placement, limits, gangs, demand)
         else:
-            Singles(board, need).run(limits)
-    rescue(board)
-    reserves = Reserves(board)
-    for reserve in snap.reserves:
-        reserves.keep(reserve)
+            TaskPlacer(placement, demand).run(limits)
+    restart_near_image(placement)
+    reserves = WarmPool(placement)
+    for reserve in snapshot.warm_pool_targets:
+        reserves.maintain(reserve)
     # What is held for a job that waits for more machines yet is not idle, however long that takes.
-    board.plan.spare = {r.name for r in board.up if r.empty and not r.kept_for}
-    board.plan.drain = consolidate(board, reserves)
-    return board.plan
+    placement.plan.idle_machines = {r.name for r in placement.running if r.empty and not r.reserved_for}
+    placement.plan.drain = consolidate(placement, reserves)
+    return placement.plan
--- a/winglift/policy/renting.py
+++ b/winglift/policy/renting.py
@@ -4,17 +4,17 @@
 
 from dataclasses import dataclass
 
-from .. import constants as c
+from .. import constants
 from ..wire.cloud import MachineType
 from ..wire.users import Kind, Submission
-from . import worth
-from .snapshot import Need, Plan, Rental, Room, Snapshot, zone_ok
+from . import cost_model
+from .snapshot import Demand, FreeCapacity, Plan, Rental, Snapshot, zone_allowed
 
 Mark = tuple[int, int, dict[str, int], dict[tuple[str, str], int]]
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
+class RentalChoice:
     """One type, zone and kind that a task could be rented a machine of."""
 
     late: bool  # it would miss its sub-deadline there
@@ -28,93 +28,104 @@
 class Renting:
     """Chooses machine types to rent, within what the cloud has refused lately."""
 
-    def __init__(self, snap: Snapshot, plan: Plan, coming: list[Room]) -> None:
-        self.snap = snap
+    def __init__(self, snapshot: Snapshot, plan: Plan, coming: list[FreeCapacity]) -> None:
+        self.snapshot = snapshot
         self.plan = plan
-        self.coming = coming
+        self.booting = coming
         self._had: dict[tuple[str, str | None, bool], bool] = {}
-        self._few = dict(snap.dark)  # where new machines stay dark, few are tried
-        self.all_cut = all(z in snap.cut for t in snap.types.values() for z in t.zones)
+        self._few = dict(snapshot.boot_probe_allowance)  # where new machines stay dark, few are tried
+        self.all_zones_unreachable = all(
+            z in snapshot.unreachable_zones for t in snapshot.types.values() for z in t.zones
+        )
         self.per_zone: dict[str, int] = {}
-        for room in snap.rooms:
-            self.per_zone[room.zone] = self.per_zone.get(room.zone, 0) + 1
+        for capacity in snapshot.capacities:
+            self.per_zone[capacity.zone] = self.per_zone.get(capacity.zone, 0) + 1
 
-    def slack_gone(self, need: Need) -> bool:
+    def slack_exhausted(self, demand: Demand) -> bool:
         """Remaining time minus boot, fetch and run time minus a cycle (the slack wait).
 
         Boot and fetch are those of the cheapest type for this task, of those that are to be had now if there are any.
         """
-        spec = need.spec
+        spec = demand.spec
         if spec.due_s is None:
             return True
-        types = self.snap.types.values()
-        mtype = worth.cheapest(spec, [t for t in types if self._to_be_had(t, spec)]) or worth.cheapest(spec, types)
-        ready = worth.ready_s(spec, mtype) if mtype is not None else 0.0
-        return need.sub_deadline - self.snap.now - need.run_s * self.snap.slack_pad - ready - c.CYCLE_S <= 0
+        types = self.snapshot.types.values()
+        mtype = cost_model.cheapest_type(
+            spec, [t for t in types if self._available(t, spec)]
+        ) or cost_model.cheapest_type(spec, types)
+        ready = cost_model.ready_s(spec, mtype) if mtype is not None else 0.0
+        return (
+            demand.sub_deadline - self.snapshot.now - demand.run_s * self.snapshot.slack_pad - ready - constants.CYCLE_S
+            <= 0
+        )
 
-    def _to_be_had(self, mtype: MachineType, spec: Submission) -> bool:
+    def _available(self, mtype: MachineType, spec: Submission) -> bool:
         key = mtype.name, spec.zone, spec.spot
         found = self._had.get(key)
         if found is None:
             kinds = (False, True) if spec.spot and mtype.spot_price is not None else (False,)
             found = self._had[key] = any(
-                (mtype.name, zone, spot) not in self.snap.refused
+                (mtype.name, zone, spot) not in self.snapshot.capacity_refusals
                 for zone in mtype.zones
                 for spot in kinds
                 if spec.zone in (None, zone)
             )
         return found
 
-    def _choices(self, need: Need, placed: dict[str, int]) -> list[Choice]:
+    def _choices(self, demand: Demand, placed: dict[str, int]) -> list[RentalChoice]:
         """What could be rented for one task."""
-        spec, now = need.spec, self.snap.now
-        found: list[Choice] = []
+        spec, now = demand.spec, self.snapshot.now
+        found: list[RentalChoice] = []
         # Cheap machines may be refused for now. Dear ones are rented instead only once the deadline asks for it:
         # with a boot ahead, the start is late for a guarantee in any case.
-        kinds = (False,) if not spec.spot else (True, False) if self.slack_gone(need) else (True,)
-        types = self.snap.types.values()
-        may_wait = need.spare or (spec.due_s is not None and not need.overdue)
+        kinds = (False,) if not spec.spot else (True, False) if self.slack_exhausted(demand) else (True,)
+        types = self.snapshot.types.values()
+        may_wait = demand.is_speculative or (spec.due_s is not None and not demand.start_overdue)
         for mtype in types:
-            if not worth.fits(spec, mtype):
+            if not cost_model.task_fits(spec, mtype):
                 continue
-            ready = worth.ready_s(spec, mtype) + need.run_s
+            ready = cost_model.ready_s(spec, mtype) + demand.run_s
             for spot in kinds if mtype.spot_price is not None else (False,):
-                if may_wait and worth.dear(spec, mtype, types, spot):
+                if may_wait and cost_model.too_expensive(spec, mtype, types, spot):
                     # What is paid for anyway serves all; but none is rented that costs more than being late does. Only
                     # what would not begin at all takes it: no class is starved for its price.
                     continue
                 for zone in mtype.zones:
-                    if (spec.zone is not None and zone != spec.zone) or not zone_ok(spec, zone, placed):
+                    if (spec.zone is not None and zone != spec.zone) or not zone_allowed(spec, zone, placed):
                         continue
-                    if zone in self.snap.cut and not self.all_cut:
+                    if zone in self.snapshot.unreachable_zones and not self.all_zones_unreachable:
                         # With its machines out of reach a zone looks empty, and all was rented there first.
                         continue
                     dark = (mtype.name, zone) in self._few
-                    if (dark and self._few[mtype.name, zone] < 1) or (mtype.name, zone, spot) in self.snap.refused:
+                    if (dark and self._few[mtype.name, zone] < 1) or (
+                        mtype.name,
+                        zone,
+                        spot,
+                    ) in self.snapshot.capacity_refusals:
                         continue
-                    alone = spec.kind is Kind.SERVICE and self.snap.alone(zone)
+                    alone = spec.kind is Kind.SERVICE and self.snapshot.without_controller(zone)
                     key = (
                         dark,
-                        worth.price(spec, mtype, spot),
+                        cost_model.task_price(spec, mtype, spot),
                         alone,
                         placed.get(zone, 0),
                         self.per_zone.get(zone, 0),
                         zone,
                         mtype.name,
                     )
-                    found.append(Choice(now + ready > need.sub_deadline, ready, key, mtype, zone, spot))
+                    found.append(RentalChoice(now + ready > demand.sub_deadline, ready, key, mtype, zone, spot))
         return found
 
-    def rent(self, need: Need, placed: dict[str, int]) -> Room | None:
+    def rent(self, demand: Demand, placed: dict[str, int]) -> FreeCapacity | None:
         """The room of a machine to be rented for one task of this need; None if nothing adequate is to be had."""
-        choices = self._choices(need, placed)
+        choices = self._choices(demand, placed)
         if not choices:
             return None
         # The cheapest that meets the sub-deadline; or else the fastest, or the cheapest of those about as fast.
-        soon = min(x.ready_s for x in choices) * c.LATE_ALIKE
+        soon = min(x.ready_s for x in choices) * constants.SIMILAR_LATENESS
         best = min(choices, key=lambda x: (x.late, x.late and x.ready_s > soon, x.key))
         mtype, zone = best.type, best.zone
-        room = Room(
+        capacity = FreeCapacity(
             f"new-{len(self.plan.rentals)}",
             mtype,
             zone,
@@ -123,23 +134,23 @@
             mtype.gpus,
             mtype.memory_gb,
             ready_in=mtype.boot_s,
-            alone=self.snap.alone(zone),
+            without_controller=self.snapshot.without_controller(zone),
         )
         self.plan.rentals.append(Rental(mtype.name, zone, best.spot))
         self.per_zone[zone] = self.per_zone.get(zone, 0) + 1
         if (mtype.name, zone) in self._few:
             self._few[mtype.name, zone] -= 1
-        self.coming.append(room)
-        return room
+        self.booting.append(capacity)
+        return capacity
 
-    def mark(self) -> Mark:
+    def checkpoint(self) -> Mark:
         """The state to return to if a gang finds no place for all its tasks."""
-        return len(self.plan.rentals), len(self.coming), dict(self.per_zone), dict(self._few)
+        return len(self.plan.rentals), len(self.booting), dict(self.per_zone), dict(self._few)
 
-    def undo(self, mark: Mark) -> None:
+    def rollback(self, mark: Mark) -> None:
         """Rent nothing of what was decided since the mark."""
         del self.plan.rentals[mark[0] :]
-        del self.coming[mark[1] :]
+        del self.booting[mark[1] :]
         self.per_zone, self._few = dict(mark[2]), dict(mark[3])
 
 
--- /dev/null
+++ b/winglift/policy/replica_relocation.py
@@ -0,0 +1,109 @@
+"""Replicas that stand on machines which other work needs, and move off them.
+
+A replica without GPUs goes to a machine that has some only where there is no other room. There it would bar a gang
+that fits nowhere else for as long as it runs, since nothing may stop it. So it moves, once there is room
+elsewhere: a move is not a preemption, and its service goes on with the others meanwhile.
+"""
+
+from __future__ import annotations
+
+from ..model.quota import AMOUNT_TOLERANCE
+from ..wire.users import Submission
+from . import cost_model
+from .placement_state import PlacementState
+from .search import Search
+from .snapshot import Demand, FreeCapacity, MovableReplica
+
+
+def _fits_without(capacity: FreeCapacity, spec: Submission, replicas: list[MovableReplica]) -> bool:
+    """Would a task fit there without these replicas, and once what yields to it has stopped?"""
+    gives = [v for v in capacity.victims if v.rank < spec.priority.rank]
+    return (
+        capacity.cpus
+        + capacity.releasing_cpus
+        + sum(v.cpus for v in gives)
+        + sum(m.spec.cpus for m in replicas)
+        + AMOUNT_TOLERANCE
+        >= spec.cpus
+        and capacity.gpus + capacity.releasing_gpus + sum(v.gpus for v in gives) + AMOUNT_TOLERANCE >= spec.gpus
+        and capacity.memory_gb
+        + capacity.releasing_memory_gb
+        + sum(v.memory_gb for v in gives)
+        + sum(m.spec.memory_gb for m in replicas)
+        + AMOUNT_TOLERANCE
+        >= spec.memory_gb
+    )
+
+
+def relocate_replicas(placement: PlacementState, demand: Demand) -> bool:
+    """Move replicas off the machine that needs the fewest moves for one task of a need that found no room.
+
+    Nothing is moved that finds no place elsewhere now, or where not all of them would make room.
+    """
+    if all(t.gpus > 0 for t in placement.snapshot.types.values()):
+        return False  # nobody is a guest anywhere: 645 machines need not be looked at for each gang that waits
+    best: tuple[int, FreeCapacity, list[tuple[MovableReplica, FreeCapacity]]] | None = None
+    for capacity in placement.running:
+        if (
+            not capacity.replica_count
+            or not demand.allows(capacity)
+            or capacity.type.gpus <= 0
+            or not cost_model.task_fits(demand.spec, capacity.type)
+        ):
+            continue
+        capacity.inspect()
+        replicas = sorted(
+            (m for m in capacity.movable_replicas if cost_model.prefers_cpu_machines(m.spec, placement.snapshot.types)),
+            key=lambda m: -m.spec.cpus,
+        )
+        count = next(
+            (n for n in range(1, len(replicas) + 1) if _fits_without(capacity, demand.spec, replicas[:n])), None
+        )
+        if count is None or (best is not None and count >= best[0]):
+            continue
+        found = allocate_elsewhere(placement, capacity, replicas[:count], placement.running, warm=False)
+        for replica, target in found:
+            target.deallocate(replica.spec)
+        if len(found) == count:
+            best = count, capacity, found
+    if best is None:
+        return False
+    for replica, target in best[2]:
+        target.allocate(replica.spec)
+        placement.plan.migrations.append((replica.ref, replica.index))
+    placement.plan.reservations[demand.ref] = [best[1].name]
+    return True
+
+
+def allocate_elsewhere(
+    placement: PlacementState,
+    capacity: FreeCapacity,
+    replicas: list[MovableReplica],
+    capacities: list[FreeCapacity],
+    warm: bool,
+) -> list[tuple[MovableReplica, FreeCapacity]]:
+    """Places for a machine's replicas among these rooms, taken as far as there are any: the caller gives them back.
+
+    `warm`: only beside their images.
+    """
+    taken: list[tuple[MovableReplica, FreeCapacity]] = []
+    for replica in replicas:
+        plain = cost_model.prefers_cpu_machines(replica.spec, placement.snapshot.types)
+        demand = Demand(replica.ref, replica.spec, [], placement.snapshot.now, 0.0, {}, prefers_cpu_machines=plain)
+        placed = {z: n - (z == capacity.zone) for z, n in replica.zones.items()}
+        target = Search(
+            demand,
+            [
+                r
+                for r in capacities
+                if r is not capacity
+                and not demand.would_occupy_gpu_machine(r)
+                and (not warm or replica.spec.image in r.images)
+            ],
+            placement.snapshot.now,
+        ).best(placed)
+        if target is None:
+            break
+        target.allocate(replica.spec)
+        taken.append((replica, target))
+    return taken
--- /dev/null
+++ b/winglift/policy/reservation.py
@@ -0,0 +1,79 @@
+"""Room kept together for the largest job that has waited for long.
+
+Small jobs take each place as it becomes free, and on a full platform one that needs whole machines, or many at once,
+never sees them free together. From a share of the users' four minutes on, the machines that are nearest to holding it
+take nothing else of its priority or below, until it begins. One job at a time, and for a limited time at once, so that
+nobody else starves for it.
+"""
+
+from __future__ import annotations
+
+from .. import constants
+from ..wire.users import Kind
+from . import cost_model
+from .placement_state import PlacementState
+from .snapshot import Demand, FreeCapacity
+
+
+def _demand_size(demand: Demand) -> tuple[float, float, float]:
+    tasks = len(demand.indices) if demand.spec.kind is Kind.GANG else 1
+    return demand.spec.gpus * tasks, demand.spec.cpus * tasks, demand.spec.memory_gb * tasks
+
+
+def _missing_share(demand: Demand, capacity: FreeCapacity) -> float:
+    """The largest part of the machine that must become free yet."""
+    spec, mtype = demand.spec, capacity.type
+    return max(
+        0.0,
+        (spec.cpus - capacity.cpus - capacity.releasing_cpus) / mtype.cpus,
+        (spec.gpus - capacity.gpus - capacity.releasing_gpus) / mtype.gpus if mtype.gpus else 0.0,
+        (spec.memory_gb - capacity.memory_gb - capacity.releasing_memory_gb) / mtype.memory_gb,
+    )
+
+
+def largest_overdue(demands: list[Demand]) -> Demand | None:
+    """The job that room is kept for: of those that have waited for long the largest, of equals the first. The replicas
+    of a service go before all else anyhow."""
+    late = (n for n in demands if n.start_overdue and n.spec.kind is not Kind.SERVICE)
+    return max(late, key=lambda n: (_demand_size(n), n.waited_s, n.ref), default=None)
+
+
+def reservation_paused(demand: Demand) -> bool:
+    """Is it the others' turn? No job may wait for 90 s beside room: what was not filled in time goes to whoever waits,
+    and is then kept together anew."""
+    held_s = demand.waited_s - constants.START_DEADLINE_S * constants.RESERVATION_AFTER_SHARE
+    return held_s % (constants.RESERVATION_MAX_S + constants.RESERVATION_PAUSE_S) >= constants.RESERVATION_MAX_S
+
+
+def reserve_for_largest(placement: PlacementState) -> None:
+    """Keep the machines nearest to holding the largest job that waits, if there is one and it could fit."""
+    demand = largest_overdue(placement.snapshot.demands)
+    if demand is None or reservation_paused(demand):
+        return
+    tasks = len(demand.indices) if demand.spec.kind is Kind.GANG else 1
+    zones: dict[str, list[FreeCapacity]] = {}
+    for capacity in placement.running:
+        # Where replicas stand that nothing may stop, it never becomes free.
+        fixed = capacity.replica_count > 0 and _missing_share(demand, capacity) > 0
+        if demand.allows(capacity) and not fixed and cost_model.task_fits(demand.spec, capacity.type):
+            zones.setdefault(capacity.zone if demand.spec.one_zone else "", []).append(capacity)
+    best: tuple[float, list[FreeCapacity]] | None = None
+    for capacities in zones.values():
+        capacities.sort(key=lambda r: (_missing_share(demand, r), r.name))
+        chosen: list[FreeCapacity] = []
+        left = tasks
+        for capacity in capacities:
+            if left <= 0:
+                break
+            chosen.append(capacity)
+            left -= max(1, capacity.slots(demand.spec, soon=True))
+        lacks = sum(_missing_share(demand, r) for r in chosen)
+        if left <= 0 and (best is None or lacks < best[0]):
+            best = lacks, chosen
+    if best is None or len(best[1]) > constants.RESERVATION_MAX_SHARE * len(placement.running):
+        if demand.waited_s > constants.START_DEADLINE_S:
+            placement.plan.unplaceable_job = demand.ref
+        return
+    for capacity in best[1]:
+        if capacity.reserved_for in ("", demand.ref) or capacity.reserved_rank < demand.spec.priority.rank:
+            capacity.reserve(demand.ref, demand.spec.priority.rank)
--- a/winglift/policy/reserve.py
+++ b/winglift/policy/warm_pool.py
@@ -8,15 +8,15 @@
 
 import msgspec
 
-from .. import constants as c
-from ..model.teams import EPS
+from .. import constants
+from ..model.quota import AMOUNT_TOLERANCE
 from ..wire.users import Submission
-from . import worth
-from .board import Board
-from .snapshot import Need, Reserve, Room
+from . import cost_model
+from .placement_state import PlacementState
+from .snapshot import Demand, FreeCapacity, WarmPoolTarget
 
 
-def reserve_size(arrivals: Sequence[tuple[float, int]], now: float, boot_s: float, deviations: float) -> int:
+def warm_pool_size(arrivals: Sequence[tuple[float, int]], now: float, boot_s: float, deviations: float) -> int:
     """Tasks to keep room for: what may arrive while a machine boots.
 
     `arrivals` holds time and tasks of recent jobs. The fullest stretch of time does not count towards the rate:
@@ -27,10 +27,10 @@
         return 0
     slots: dict[int, int] = {}
     for when, tasks in arrivals:
-        slot = int((now - when) // c.RESERVE_SLOT_S)
+        slot = int((now - when) // constants.WARM_POOL_SLOT_S)
         slots[slot] = slots.get(slot, 0) + tasks
     total = sum(tasks for _, tasks in arrivals) - max(slots.values())
-    span = max(c.RESERVE_SPAN_S, now - min(when for when, _ in arrivals)) - c.RESERVE_SLOT_S
+    span = max(constants.WARM_POOL_SPAN_S, now - min(when for when, _ in arrivals)) - constants.WARM_POOL_SLOT_S
     expected = total / span * boot_s
     mean = sum(tasks for _, tasks in arrivals) / len(arrivals)
     largest = max(tasks for _, tasks in arrivals)
@@ -42,41 +42,52 @@
 
     What comes together counts as one arrival, and a single one tells nothing about gaps.
     """
-    slots = len({int(when // c.RESERVE_SLOT_S) for when in times})
+    slots = len({int(when // constants.WARM_POOL_SLOT_S) for when in times})
     if slots < 2:
         return math.inf
-    return max(c.RESERVE_QUIET_S, c.RESERVE_QUIET_GAPS * (max(times) - min(times)) / (slots - 1))
+    return max(constants.WARM_POOL_QUIET_S, constants.WARM_POOL_QUIET_GAPS * (max(times) - min(times)) / (slots - 1))
 
 
 def _times(amount: float, each: float) -> float:
     return amount / each if each > 0 else math.inf
 
 
-class Reserves:
+class WarmPool:
     """Keeps room warm for the classes that must start sooner than a machine boots."""
 
-    def __init__(self, board: Board) -> None:
-        self.board = board
-
-    def _need(self, spec: Submission) -> Need:
-        snap = self.board.snap
-        return Need("reserve", spec, [], snap.now, 0.0, {}, spare=True, plain=worth.plain(spec, snap.types))
-
-    def _missing(self, reserve: Reserve, rooms: Iterable[Room], keep: bool) -> tuple[int, dict[str, int]]:
+    def __init__(self, placement: PlacementState) -> None:
+        self.placement = placement
+
+    def _demand(self, spec: Submission) -> Demand:
+        snapshot = self.placement.snapshot
+        return Demand(
+            "reserve",
+            spec,
+            [],
+            snapshot.now,
+            0.0,
+            {},
+            is_speculative=True,
+            prefers_cpu_machines=cost_model.prefers_cpu_machines(spec, snapshot.types),
+        )
+
+    def _missing(
+        self, reserve: WarmPoolTarget, capacities: Iterable[FreeCapacity], keep: bool
+    ) -> tuple[int, dict[str, int]]:
         """How much of a reserve is not warm: neither free nor taken by work that would give way."""
         spec, left = reserve.spec, reserve.count
         per_zone: dict[str, int] = {}
         most = (reserve.count + 1) // 2 if spec.spread else reserve.count
-        need = self._need(spec)
-        for room in rooms:
+        demand = self._demand(spec)
+        for capacity in capacities:
             if left <= 0:
                 break
-            if not room.allowed(spec) or need.guest(room):
+            if not capacity.allowed(spec) or demand.would_occupy_gpu_machine(capacity):
                 continue
-            gpus, cpus = room.gpus + room.soon_gpus, room.cpus + room.soon_cpus
-            memory = room.memory_gb + room.soon_memory_gb
-            if room.yields:
-                more = room.may_give(spec.priority.rank)
+            gpus, cpus = capacity.gpus + capacity.releasing_gpus, capacity.cpus + capacity.releasing_cpus
+            memory = capacity.memory_gb + capacity.releasing_memory_gb
+            if capacity.preemptible_tasks:
+                more = capacity.preemptible_below(spec.priority.rank)
                 cpus, gpus, memory = cpus + more[0], gpus + more[1], memory + more[2]
             fit = int(
                 min(
@@ -84,34 +95,37 @@
                     _times(cpus, spec.cpus),
                     _times(memory, spec.memory_gb),
                     left,
-                    most - per_zone.get(room.zone, 0),
+                    most - per_zone.get(capacity.zone, 0),
                 )
-                + EPS
+                + AMOUNT_TOLERANCE
             )
             if fit > 0:
-                if keep and room.empty:
-                    room.keep_warm()
+                if keep and capacity.empty:
+                    capacity.keep_warm()
                 left -= fit
-                per_zone[room.zone] = per_zone.get(room.zone, 0) + fit
+                per_zone[capacity.zone] = per_zone.get(capacity.zone, 0) + fit
         return left, per_zone
 
-    def covered(self, rooms: Iterable[Room]) -> bool:
+    def covered_by(self, capacities: Iterable[FreeCapacity]) -> bool:
         """Would these rooms alone keep every reserve warm?"""
-        rooms = list(rooms)
-        return all(self._missing(reserve, rooms, keep=False)[0] <= 0 for reserve in self.board.snap.reserves)
+        capacities = list(capacities)
+        return all(
+            self._missing(reserve, capacities, keep=False)[0] <= 0
+            for reserve in self.placement.snapshot.warm_pool_targets
+        )
 
-    def keep(self, reserve: Reserve) -> None:
+    def maintain(self, reserve: WarmPoolTarget) -> None:
         """Keep room warm, and rent what is missing of it."""
-        board = self.board
+        placement = self.placement
         # Machines in use first: an empty one is kept only if they are not enough.
-        rooms = sorted(board.up + board.coming, key=attrgetter("empty", "ready_in"))
-        left, per_zone = self._missing(reserve, rooms, keep=True)
+        capacities = sorted(placement.running + placement.booting, key=attrgetter("empty", "ready_in"))
+        left, per_zone = self._missing(reserve, capacities, keep=True)
         spec = reserve.spec
-        while left > 0 and board.snap.may_rent:
-            need = self._need(spec)
+        while left > 0 and placement.snapshot.may_rent:
+            demand = self._demand(spec)
             if spec.spread:
-                need.spec = msgspec.structs.replace(spec, tasks=max(1, reserve.count))
-            rented = board.renting.rent(need, per_zone)
+                demand.spec = msgspec.structs.replace(spec, tasks=max(1, reserve.count))
+            rented = placement.renting.rent(demand, per_zone)
             if rented is None:
                 return
             fit = max(1, min(rented.slots(spec, soon=False), left))
--- a/winglift/store/batcher.py
+++ b/winglift/store/batcher.py
@@ -8,18 +8,18 @@
 
 import msgspec
 
-from .. import constants as c
+from .. import constants
 from ..config.settings import State
 from ..duties.duty import Fence
 from ..model import records
+from ..model.cluster_state import START, ClusterState
 from ..model.entities import Job
-from ..model.job import JobState
-from ..model.picture import START, Picture
-from ..model.recorded import apply_record, committed
-from ..model.task import TaskEvent, TaskState
-from ..net.outside import steady
-from ..wire import state as wire
-from .client import Health, LeaseGone, Malformed, Refused, StateClient, Unknown
+from ..model.job_state import JobState
+from ..model.record_application import apply_commit, apply_record
+from ..model.task_state import TaskEvent, TaskState
+from ..net.runtime import monotonic_time
+from ..wire import state as state_messages
+from .client import Health, InvalidRequest, LeaseExpired, OutcomeUnknown, RequestRejected, StateClient
 
 log = logging.getLogger(__name__)
 
@@ -31,27 +31,27 @@
     low, bits = records.pack_done(job.done)
     state = JobState.DONE if job.state is JobState.ENDING else job.state
     return records.JobRecord(
-        submitted=job.submitted,
+        submitted_at=job.submitted_at,
         spec=job.spec,
         state=state.value,
         next_attempt=job.next_attempt,
-        low=low,
-        bits=bits,
-        places=records.pack_places(job.active),
-        cancelled=job.cancelled,
+        first_open=low,
+        done_bitmap=bits,
+        assignments=records.pack_assignments(job.active),
+        cancelled_at=job.cancelled_at,
     )
 
 
 class Batcher:
     """Writes changed job records in batches, most urgent first, conditional on the leadership key."""
 
-    def __init__(self, state: StateClient, limits: State, picture: Picture, fence: Fence) -> None:
+    def __init__(self, state: StateClient, limits: State, cluster: ClusterState, fence: Fence) -> None:
         self.state = state
         self.limits = limits
-        self.picture = picture
+        self.cluster = cluster
         self.fence = fence
         self.most_ops = limits.txn_ops
-        self.lost = False  # the leader key has another revision
+        self.fence_lost = False  # the leader key has another revision
         self._running: set[asyncio.Task] = set()
         self._waits: dict[str, float] = {}  # since when a change waits that is not urgent
         self._timer: asyncio.TimerHandle | None = None
@@ -59,7 +59,7 @@
 
     def fits(self, job: Job) -> bool:
         """Does the job's record fit into one value of the state service?"""
-        return len(msgspec.json.encode(pack(job))) <= self.most_bytes - c.RECORD_SPARE_BYTES
+        return len(msgspec.json.encode(pack(job))) <= self.most_bytes - constants.RECORD_SPARE_BYTES
 
     def flush(self) -> None:
         """Start as many transactions as there are changes, free slots and tokens. Urgent changes go first.
@@ -71,11 +71,11 @@
             self._timer.cancel()
             self._timer = None
         # In an outage one try at a time finds out; packing hundreds of records for each refusal cost a core's tenth.
-        parallel = c.COMMIT_PARALLEL if self.state.health() is Health.GOOD else 1
-        if self.lost or len(self._running) >= parallel:
+        parallel = constants.COMMIT_PARALLEL if self.state.health() is Health.GOOD else 1
+        if self.fence_lost or len(self._running) >= parallel:
             return
         free = self.state.writes_free()
-        due, left = self._due(free, steady())
+        due, left = self._due(free, monotonic_time())
         while due and free >= 1 and len(self._running) < parallel:
             free -= self._send(due, min(self.most_ops, free))
         if due or left:
@@ -83,27 +83,27 @@
 
     def flush_soon(self) -> None:
         """Write what is due without waiting for the next cycle."""
-        if self._timer is None and not self.lost:
-            self._timer = asyncio.get_running_loop().call_later(c.FLUSH_AGAIN_S, self.flush)
+        if self._timer is None and not self.fence_lost:
+            self._timer = asyncio.get_running_loop().call_later(constants.FLUSH_AGAIN_S, self.flush)
 
     def _due(self, free: int, now: float) -> tuple[list[Job], bool]:
         """What is to be written now, most urgent first, and whether there is more that waits."""
-        dirty = [j for j in self.picture.jobs.values() if j.dirty and not j.writing]
-        due = [j for j in dirty if j.dirty <= START]
-        due.sort(key=lambda j: (j.dirty, -j.spec.priority.rank, j.submitted))
-        waiting = {j.ref: self._waits.get(j.ref, now) for j in dirty if j.dirty > START}
+        dirty = [j for j in self.cluster.jobs.values() if j.pending_write and not j.write_in_flight]
+        due = [j for j in dirty if j.pending_write <= START]
+        due.sort(key=lambda j: (j.pending_write, -j.spec.priority.rank, j.submitted_at))
+        waiting = {j.ref: self._waits.get(j.ref, now) for j in dirty if j.pending_write > START}
         self._waits = waiting
-        spare = free - len(due) - int(self.limits.write_rps * c.START_WRITES_KEPT)
-        late = [j for j in dirty if j.dirty > START and now - waiting[j.ref] >= c.PROGRESS_AFTER_S]
+        spare = free - len(due) - int(self.limits.write_rps * constants.START_WRITES_KEPT)
+        late = [j for j in dirty if j.pending_write > START and now - waiting[j.ref] >= constants.PROGRESS_AFTER_S]
         late.sort(key=lambda j: waiting[j.ref])
         # However busy the service is, or small its budget: what has waited this long is due like a start.
-        overdue = sum(now - waiting[j.ref] >= c.PROGRESS_MOST_S for j in late)
+        overdue = sum(now - waiting[j.ref] >= constants.PROGRESS_DELAY_MAX_S for j in late)
         return due + late[: max(overdue, spare)], bool(waiting)
 
     def _send(self, due: list[Job], most: int) -> int:
         """One transaction with the first of what is due; how many changes it holds."""
         batch: list[tuple[Job, records.JobRecord]] = []
-        changes: list[tuple[wire.Condition, wire.Put]] = []
+        changes: list[tuple[state_messages.Condition, state_messages.Put]] = []
         size = 0
         while due and len(batch) < most:
             job = due[0]
@@ -113,10 +113,10 @@
                 break
             due.pop(0)
             try:
-                changes.append(records.change(job.ref, job.version, job.recorded_state, record))
-            except records.EndIsFinal as err:
+                changes.append(records.record_change(job.ref, job.version, job.committed_state, record))
+            except records.FinalStateViolation as err:
                 log.error("not written: %s", err)
-                job.dirty = 0
+                job.pending_write = 0
                 continue
             size += length
             batch.append((job, record))
@@ -124,11 +124,11 @@
             return 0
         levels = {}
         for job, _ in batch:
-            levels[job.ref] = job.dirty
-            job.dirty = 0
-            job.writing = True
+            levels[job.ref] = job.pending_write
+            job.pending_write = 0
+            job.write_in_flight = True
         # Every leader write is conditional on the leadership key at its revision (invariant 1).
-        txn = wire.Transaction(
+        txn = state_messages.Transaction(
             [self.fence.condition(), *(condition for condition, _ in changes)], [put for _, put in changes]
         )
         task = asyncio.ensure_future(self._write(batch, txn, levels))
@@ -142,37 +142,37 @@
             self.flush()
 
     async def _write(
-        self, batch: list[tuple[Job, records.JobRecord]], txn: wire.Transaction, levels: dict[str, int]
+        self, batch: list[tuple[Job, records.JobRecord]], txn: state_messages.Transaction, levels: dict[str, int]
     ) -> None:
         try:
             result = await self.state.commit(txn, max_wait=3.0)
-        except (Refused, LeaseGone) as err:
-            if isinstance(err, Malformed):
+        except (RequestRejected, LeaseExpired) as err:
+            if isinstance(err, InvalidRequest):
                 # The service's limits may be smaller than the settings say: the same batch would never get through.
                 self.most_ops = max(1, len(batch) // 2)
                 log.warning("write of %d records refused, fewer at once from now on: %s", len(batch), err)
             else:
                 log.debug("write refused: %s", err)
-            self._again(batch, levels)
-            await asyncio.sleep(c.WRITE_AGAIN_S)
-        except Unknown as err:
+            self._mark_for_retry(batch, levels)
+            await asyncio.sleep(constants.WRITE_AGAIN_S)
+        except OutcomeUnknown as err:
             # It may have been executed or may yet be: read before deciding anything else.
             log.info("write without an answer, reading again: %s", err)
-            self._again(batch, levels)
+            self._mark_for_retry(batch, levels)
             for job, _ in batch:
                 await self._reread(job)
         else:
-            now = steady()
-            if isinstance(result, wire.Committed):
+            now = monotonic_time()
+            if isinstance(result, state_messages.Committed):
                 for job, record in batch:
-                    committed(self.picture, job, result.revision, record, now)
+                    apply_commit(self.cluster, job, result.revision, record, now)
             else:
-                self._again(batch, levels)
-                if records.LEADER in result.failed:
-                    self.lost = True
+                self._mark_for_retry(batch, levels)
+                if records.LEADER_KEY in result.failed:
+                    self.fence_lost = True
                 else:
                     # The others' changes are sound: they are not held up by the reading.
-                    stale = [j for j, _ in batch if records.JOB + j.ref in result.failed]
+                    stale = [j for j, _ in batch if records.JOB_PREFIX + j.ref in result.failed]
                     self._release(j for j, _ in batch if j not in stale)
                     for job in stale:
                         await self._reread(job)
@@ -183,39 +183,39 @@
     def _release(self, jobs: Iterable[Job]) -> None:
         """These jobs' writes are over: what others changed meanwhile is taken in, and they may be written again."""
         for job in jobs:
-            job.writing = False
-            if job.pending is not None:
-                version, value = job.pending
-                job.pending = None
-                apply_record(self.picture, job.ref, version, records.decode(value), steady())
-        self.picture.changed = True
-
-    def _again(self, batch: list[tuple[Job, records.JobRecord]], levels: dict[str, int]) -> None:
+            job.write_in_flight = False
+            if job.deferred_change is not None:
+                version, value = job.deferred_change
+                job.deferred_change = None
+                apply_record(self.cluster, job.ref, version, records.decode(value), monotonic_time())
+        self.cluster.changed = True
+
+    def _mark_for_retry(self, batch: list[tuple[Job, records.JobRecord]], levels: dict[str, int]) -> None:
         for job, _ in batch:
-            job.mark(levels[job.ref])
+            job.request_write(levels[job.ref])
 
     async def _reread(self, job: Job) -> None:
-        while not self.lost:
+        while not self.fence_lost:
             try:
-                item = await self.state.get(records.JOB + job.ref)
+                item = await self.state.get(records.JOB_PREFIX + job.ref)
                 break
-            except (Refused, Unknown):
+            except (RequestRejected, OutcomeUnknown):
                 await asyncio.sleep(0.3)
         else:
             return
         if item is not None:
-            job.writing = False
-            apply_record(self.picture, job.ref, item.version, records.decode(item.value), steady())
+            job.write_in_flight = False
+            apply_record(self.cluster, job.ref, item.version, records.decode(item.value), monotonic_time())
 
     def stop(self) -> None:
         """Write nothing more in this term."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        self.lost = True
+        self.fence_lost = True
 
     def reject(self, job: Job, now: float, keep: int) -> None:
         """Take back proposals that would not fit into the record."""
         proposed = [t for t in job.active.values() if t.state is TaskState.PROPOSED]
         for task in proposed[keep:]:
-            self.picture.drop(task, TaskEvent.REJECT, now)
+            self.cluster.transition_and_release(task, TaskEvent.REJECT, now)
--- a/winglift/store/read_cache.py
+++ b/winglift/store/read_cache.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from .. import constants as c
+from .. import constants
 from ..model import records
-from ..net.outside import steady
-from .client import Refused, StateClient, TooOld
+from ..net.runtime import monotonic_time
+from .client import RequestRejected, RevisionCompacted, StateClient
 
 log = logging.getLogger(__name__)
 
@@ -45,7 +45,7 @@
         self._last_done = 0.0  # when the latest completed look was sent
         self._listing = asyncio.Lock()
 
-    def note(self, ref: str, version: int, record: records.JobRecord) -> T:
+    def add_record(self, ref: str, version: int, record: records.JobRecord) -> T:
         """A record that is committed at this version; an older one changes nothing."""
         known = self._known.get(ref)
         if known is not None and known[0] >= version:
@@ -54,7 +54,7 @@
         self._on_record(ref, version, record)
         self._known[ref] = version, digest
         self._known.move_to_end(ref)
-        while len(self._known) > c.READ_CACHE_RECORDS:
+        while len(self._known) > constants.READ_CACHE_RECORDS:
             self._known.popitem(last=False)
         return digest
 
@@ -62,33 +62,33 @@
         """The record's digest, as new as this call; None only by the state service's own word."""
         if ref in self._known or self._revision is None:
             # From the first look on every change is seen, also one that happens while a record is read.
-            await self._look()
+            await self._await_refresh()
             known = self._known.get(ref)
             # A node that stood still between the look and this line would tell what was true before: another node may
             # have told the user something newer meanwhile.
-            if steady() - self._last_done > c.LOOK_FRESH_S:
-                raise Refused("this node stood still")
+            if monotonic_time() - self._last_done > constants.REFRESH_VALID_S:
+                raise RequestRejected("this node stood still")
             if known is not None:
                 return known[1]
-        sent = steady()
-        item = await self.state.get(records.JOB + ref, timeout=c.STATUS_TIMEOUT_S)
-        if steady() - sent > c.STATUS_TIMEOUT_S + c.LOOK_FRESH_S:
-            raise Refused("this node stood still")
-        return None if item is None else self.note(ref, item.version, records.decode(item.value))
+        sent = monotonic_time()
+        item = await self.state.get(records.JOB_PREFIX + ref, timeout=constants.STATUS_TIMEOUT_S)
+        if monotonic_time() - sent > constants.STATUS_TIMEOUT_S + constants.REFRESH_VALID_S:
+            raise RequestRejected("this node stood still")
+        return None if item is None else self.add_record(ref, item.version, records.decode(item.value))
 
-    async def _look(self) -> None:
+    async def _await_refresh(self) -> None:
         """Wait for a look at the changes that is sent after this call."""
         if self._next is None:
-            self._next = asyncio.ensure_future(self._look_soon())
+            self._next = asyncio.ensure_future(self._refresh())
         # Who stops waiting must not stop the others' look.
         await asyncio.shield(self._next)
 
-    async def _look_soon(self) -> None:
-        pause = self._last_sent + self._every_s - steady()
+    async def _refresh(self) -> None:
+        pause = self._last_sent + self._every_s - monotonic_time()
         if pause > 0:
             await asyncio.sleep(pause)
         self._next = None
-        sent = self._last_sent = steady()
+        sent = self._last_sent = monotonic_time()
         if self._revision is None:
             async with self._listing:
                 if self._revision is None:
@@ -98,34 +98,34 @@
             # Another look has listed meanwhile, perhaps before this one was asked for: it sees what came after.
         revision = self._revision
         try:
-            changes = await self.state.changes(records.JOB, revision, block_ms=0)
-        except TooOld:
+            changes = await self.state.changes(records.JOB_PREFIX, revision, block_ms=0)
+        except RevisionCompacted:
             # What was missed is unknown, so nothing that is known can be trusted.
             self._known.clear()
             self._revision = None
-            raise Refused("the changes asked for are no longer kept") from None
+            raise RequestRejected("the changes asked for are no longer kept") from None
         for event in changes.events:
             if event.delete is not None:
-                self._known.pop(event.delete[len(records.JOB) :], None)
+                self._known.pop(event.delete[len(records.JOB_PREFIX) :], None)
             elif event.put is not None:
-                self._note_raw(event.put, event.version, event.value)
+                self._add_stored_value(event.put, event.version, event.value)
         if self._revision is not None:
             self._revision = max(self._revision, changes.revision)
         self._last_done = max(self._last_done, sent)
 
     async def _list(self) -> None:
         """Learn all records at once, instead of one by one as users first ask about them."""
-        items, revision = await self.state.list(records.JOB)
+        items, revision = await self.state.list(records.JOB_PREFIX)
         # What was noted before the listing may have changed unseen; what is newer than it is seen from here on.
         self._known = OrderedDict((ref, known) for ref, known in self._known.items() if known[0] > revision)
         for item in items:
-            self._note_raw(item.key, item.version, item.value)
+            self._add_stored_value(item.key, item.version, item.value)
         self._revision = revision
 
-    def _note_raw(self, key: str, version: int, value: msgspec.Raw) -> None:
-        ref = key[len(records.JOB) :]
+    def _add_stored_value(self, key: str, version: int, value: msgspec.Raw) -> None:
+        ref = key[len(records.JOB_PREFIX) :]
         try:
-            self.note(ref, version, records.decode(value))
+            self.add_record(ref, version, records.decode(value))
         except ValueError as err:
             # Not written by this program (BadRecord is a ValueError): it must not stop the others' answers.
             self._known.pop(ref, None)
--- a/winglift/wire/back.py
+++ b/winglift/wire/peer.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerState:
-    """What a node says of itself every BACK_STATE_S."""
+    """What a node says of itself every PEER_STATE_INTERVAL_S."""
 
     term: int
     leads: bool
--- a/winglift/wire/users.py
+++ b/winglift/wire/users.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from .. import constants as c
+from .. import constants
 
 REF = re.compile(r"wk-[0-9]{1,20}\Z")
 
@@ -121,13 +121,13 @@
 
 
 def _name(field: str, value: str) -> None:
-    if not 0 < len(value) <= c.MAX_NAME:
-        raise Invalid(f"{_WIRE[field]}: expected 1 to {c.MAX_NAME} characters")
+    if not 0 < len(value) <= constants.MAX_NAME:
+        raise Invalid(f"{_WIRE[field]}: expected 1 to {constants.MAX_NAME} characters")
 
 
 def parse_submission(body: bytes) -> Submission:
     """Decode and check a submission; raises Invalid naming the field at fault."""
-    if len(body) > c.MAX_BODY:
+    if len(body) > constants.MAX_BODY:
         raise Invalid("body: more than 64 KiB")
     try:
         sub = _decoder.decode(body)
@@ -139,15 +139,15 @@
         _name(field, getattr(sub, field))
     for field in _AMOUNTS:
         value = getattr(sub, field)
-        if not math.isfinite(value) or not 0 <= value <= c.MAX_AMOUNT:
+        if not math.isfinite(value) or not 0 <= value <= constants.MAX_AMOUNT:
             raise Invalid(f"{_WIRE[field]}: expected a finite number of at least 0")
-    if sub.due_s is not None and not (math.isfinite(sub.due_s) and 0 <= sub.due_s <= c.MAX_AMOUNT):
+    if sub.due_s is not None and not (math.isfinite(sub.due_s) and 0 <= sub.due_s <= constants.MAX_AMOUNT):
         raise Invalid("dueS: expected a finite number of at least 0, or null")
-    if not 1 <= sub.tasks <= c.MAX_PIECES:
-        raise Invalid(f"pieces: expected 1 to {c.MAX_PIECES}")
+    if not 1 <= sub.tasks <= constants.MAX_PIECES:
+        raise Invalid(f"pieces: expected 1 to {constants.MAX_PIECES}")
     if sub.types is not None:
-        if not 1 <= len(sub.types) <= c.MAX_TYPES:
-            raise Invalid(f"rigTypes: expected null or 1 to {c.MAX_TYPES} names")
+        if not 1 <= len(sub.types) <= constants.MAX_TYPES:
+            raise Invalid(f"rigTypes: expected null or 1 to {constants.MAX_TYPES} names")
         for name in sub.types:
             _name("types", name)
     if sub.zone is not None:
--- a/winglift/wire/workers.py
+++ b/winglift/wire/workers.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from .. import constants as c
+from .. import constants
 from .users import Invalid, is_ref
 
 _NAME = re.compile(r"[A-Za-z0-9._-]{1,64}\Z")
@@ -38,7 +38,7 @@
     UNKNOWN = "no_such"
 
 
-@lru_cache(maxsize=c.TASK_NAMES_KEPT)
+@lru_cache(maxsize=constants.TASK_NAMES_KEPT)
 def parse_task(name: str) -> tuple[str, int] | None:
     """(job, task number) of a task's name, or None. Most names come back with the machine's next report."""
     ref, _, number = name.partition("/")
--- a/winglift/workers/probes.py
+++ b/winglift/workers/probes.py
@@ -10,38 +10,38 @@
 import logging
 from collections.abc import Iterable, Mapping
 
-from .. import constants as c
+from .. import constants
+from ..model.cluster_state import ClusterState
 from ..model.entities import Machine
 from ..model.leadership import Leadership
-from ..model.machine import MachineState
-from ..model.picture import Picture
-from ..model.reported import on_report
+from ..model.machine_state import MachineState
+from ..model.report_reconciliation import reconcile_report
 from ..net.client import Unanswered
-from ..net.outside import here, steady
-from ..wire import workers as w
+from ..net.runtime import current_runtime, monotonic_time
+from ..wire import workers as worker_messages
 from ..wire.users import Invalid
 
 log = logging.getLogger(__name__)
 
 
 class Prober:
-    def __init__(self, picture: Picture, me: Leadership) -> None:
-        self.picture = picture
-        self.me = me
+    def __init__(self, cluster: ClusterState, leadership: Leadership) -> None:
+        self.cluster = cluster
+        self.leadership = leadership
         self._asking: dict[str, asyncio.Task] = {}
 
-    def ask(self, machines: Iterable[Machine], controls: Mapping[str, Machine]) -> None:
+    def probe(self, machines: Iterable[Machine], controls: Mapping[str, Machine]) -> None:
         """Ask these machines, not too many at once: those left out are asked by a later call.
 
         `controls`: per zone a machine that was heard just now, which is asked as well.
         """
         for machine in machines:
-            if len(self._asking) >= c.PROBES_AT_ONCE:
+            if len(self._asking) >= constants.PROBES_AT_ONCE:
                 return
             # Where no machine hears there is none to compare with; their answers alone count then.
-            control = machine if machine.state is MachineState.DEAF else controls.get(machine.zone)
+            control = machine if machine.state is MachineState.UNRESPONSIVE else controls.get(machine.zone)
             if machine.name not in self._asking and machine.addr and control is not None:
-                machine.asked = steady()
+                machine.probed_at = monotonic_time()
                 self._asking[machine.name] = asyncio.ensure_future(self._ask(machine, control))
 
     def stop(self) -> None:
@@ -50,26 +50,36 @@
 
     async def _ask(self, machine: Machine, control: Machine) -> None:
         """No answer counts only if the control answers: a leader cut off from all workers had given sound ones up."""
-        sent = steady()
+        sent = monotonic_time()
         try:
             if control is machine:
                 await self._question(machine)
                 return
             answered, reached = await asyncio.gather(self._question(machine), self._question(control))
             # If this node stood still, the answer may have been there.
-            if not answered and reached and steady() - sent < c.PROBE_TIMEOUT_S + c.PAUSE_S:
-                machine.unanswered = sent
-                self.picture.changed = True
+            if (
+                not answered
+                and reached
+                and monotonic_time() - sent < constants.PROBE_TIMEOUT_S + constants.NODE_PAUSE_S
+            ):
+                machine.probe_failed_at = sent
+                self.cluster.changed = True
         finally:
             self._asking.pop(machine.name, None)
 
     async def _question(self, machine: Machine) -> bool:
         host, _, port = machine.addr.partition(":")
         try:
-            reply = await here().client(host, int(port), most=0).request("GET", "/show", None, c.PROBE_TIMEOUT_S)
+            reply = (
+                await current_runtime()
+                .client(host, int(port), most=0)
+                .request("GET", "/show", None, constants.PROBE_TIMEOUT_S)
+            )
             if reply.status == 200:
-                if self.me.entitled(steady()):
-                    on_report(self.picture, w.parse_report(reply.body), steady(), direct=True)
+                if self.leadership.entitled(monotonic_time()):
+                    reconcile_report(
+                        self.cluster, worker_messages.parse_report(reply.body), monotonic_time(), direct=True
+                    )
                 return True
         except (Unanswered, Invalid) as err:
             log.debug("%s does not answer: %s", machine.name, err)
--- a/winglift/workers/reports.py
+++ b/winglift/workers/reports.py
@@ -18,49 +18,49 @@
 
 import msgspec
 
-from .. import constants as c
-from ..cluster.link import Link, Peer
+from .. import constants
+from ..cluster.peer_connections import Peer, PeerConnections
 from ..config.settings import Settings
-from ..net.outside import steady
-from ..wire import workers as w
+from ..net.runtime import monotonic_time
+from ..wire import workers as worker_messages
 from ..wire.users import Invalid
-from .ends import EndsKeeper
-from .stranded import Stranded
+from .cancellation_enforcement import CancellationEnforcer
+from .partition_detector import PartitionDetector
 
 log = logging.getLogger(__name__)
 
-_commands = msgspec.json.Decoder(w.Commands)
+_commands = msgspec.json.Decoder(worker_messages.Commands)
 
 Answer = tuple[int, bytes]  # status and body
 
 
-class Leader(Protocol):
+class ReportingLeader(Protocol):
     """What answers reports need of the leader's work."""
 
     @property
     def term(self) -> int: ...
 
-    def on_report(self, report: w.Report) -> list[w.Command] | None:
+    def on_report(self, report: worker_messages.Report) -> list[worker_messages.Command] | None:
         """Commands for the worker, or None if it is not to be answered with 200."""
 
-    def starts_wait(self, name: str) -> bool:
+    def has_pending_starts(self, name: str) -> bool:
         """Are there starts that the next report's answer should carry?"""
 
 
-class Service(Protocol):
+class ReportHost(Protocol):
     """What answering reports needs of the node that they come to."""
 
     @property
     def settings(self) -> Settings: ...
 
     @property
-    def link(self) -> Link: ...
+    def peers(self) -> PeerConnections: ...
 
     @property
-    def controller(self) -> Leader | None: ...
+    def leader_term(self) -> ReportingLeader | None: ...
 
     @property
-    def ends(self) -> EndsKeeper: ...
+    def cancellation_enforcer(self) -> CancellationEnforcer: ...
 
     def hears_others(self) -> bool:
         """Is the state service or any other node in hearing?"""
@@ -86,60 +86,64 @@
     stay_until: float = -math.inf
 
 
-class Reports:
-    def __init__(self, node: Service) -> None:
+class ReportHandler:
+    def __init__(self, node: ReportHost) -> None:
         self.node = node
         self._contacts: dict[str, Contact] = {}
         workers = node.settings.settings.workers
         self.heard_at = -math.inf  # when a worker was last heard here
-        self.stranded = Stranded(len(node.settings.seeds), workers.lease_s, workers.report_s)
+        self.partition_detector = PartitionDetector(len(node.settings.seeds), workers.lease_s, workers.report_s)
 
     def handle(self, body: bytes) -> Answer | asyncio.Future[Answer]:
         """The answer to a report, at once where this node can give it: most reports then cost no task of their own."""
         try:
-            report = w.parse_report(body)
+            report = worker_messages.parse_report(body)
         except Invalid as err:
             log.warning("report dropped: %s", err)
             return 400, msgspec.json.encode({"error": str(err)})
-        now = steady()
-        controller = self.node.controller
+        now = monotonic_time()
+        controller = self.node.leader_term
         self.heard_at = now
         led = self.node.leader_elsewhere()
-        self.stranded.look(led is None and self.node.hears_others(), now)
+        self.partition_detector.update(led is None and self.node.hears_others(), now)
         knows_more = report.token > self.node.known_term()
-        if self.stranded.sends_on(report.machine, (report.session, report.seq), not report.tasks, knows_more, now):
-            return 421, msgspec.json.encode(w.Redirect(led or self._another(report.machine)))
+        if self.partition_detector.sends_on(
+            report.machine, (report.session, report.seq), not report.tasks, knows_more, now
+        ):
+            return 421, msgspec.json.encode(worker_messages.Redirect(led or self._another(report.machine)))
         home = self._home(report.zone, now)
-        if home is not None and not (controller is not None and controller.starts_wait(report.machine)):
+        if home is not None and not (controller is not None and controller.has_pending_starts(report.machine)):
             target = self._redirect(report.machine, home, now)
             if target is not None:
-                return 421, msgspec.json.encode(w.Redirect(target))
+                return 421, msgspec.json.encode(worker_messages.Redirect(target))
         answer = self.take(report)
         if answer is None:
-            leader = self.node.link.leader(now)
+            leader = self.node.peers.leader(now)
             if leader is not None:
                 return self._hand_over(leader, body, report, home is not None)
             answer = self._renew(report)
         return self._note(report, answer, home is not None)
 
-    def _hand_over(self, leader: Peer, body: bytes, report: w.Report, away: bool) -> asyncio.Future[Answer]:
+    def _hand_over(
+        self, leader: Peer, body: bytes, report: worker_messages.Report, away: bool
+    ) -> asyncio.Future[Answer]:
         answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
 
         def done(got: Answer | None) -> None:
             good = got is not None and got[0] == 200
             answer.set_result(self._note(report, got if got is not None and good else self._renew(report), away))
 
-        self.node.link.relay(leader, body, done)
+        self.node.peers.forward_report(leader, body, done)
         return answer
 
-    def _note(self, report: w.Report, answer: Answer, away: bool) -> Answer:
-        halts = self.node.ends.on_report(report)
+    def _note(self, report: worker_messages.Report, answer: Answer, away: bool) -> Answer:
+        halts = self.node.cancellation_enforcer.on_report(report)
         if answer[0] == 200:
             if halts:
                 answer = 200, _with(answer[1], halts)
-            self.stranded.served(report.machine, steady())
+            self.partition_detector.served(report.machine, monotonic_time())
             if away:
-                self._known(report.machine, steady()).served = True
+                self._known(report.machine, monotonic_time()).served = True
         return answer
 
     def _another(self, machine: str) -> str:
@@ -147,42 +151,42 @@
         seeds = self.node.settings.seeds
         return seeds[crc32(machine.encode()) % len(seeds)].node
 
-    def take(self, report: w.Report) -> Answer | None:
+    def take(self, report: worker_messages.Report) -> Answer | None:
         """Answer as the leader, or None when this node does not lead."""
-        controller = self.node.controller
+        controller = self.node.leader_term
         if controller is None or report.token > controller.term:
             return None
         commands = controller.on_report(report)
         if commands is None:
-            return 421, msgspec.json.encode(w.Redirect())
-        return 200, msgspec.json.encode(w.Commands(controller.term, commands))
+            return 421, msgspec.json.encode(worker_messages.Redirect())
+        return 200, msgspec.json.encode(worker_messages.Commands(controller.term, commands))
 
     def relayed(self, body: bytes) -> Answer:
         """A report that another node hands over."""
         try:
-            answer = self.take(w.parse_report(body))
+            answer = self.take(worker_messages.parse_report(body))
         except Invalid as err:
             return 400, msgspec.json.encode({"error": str(err)})
         return answer or (503, msgspec.json.encode({"error": "does not lead"}))
 
     def _home(self, zone: str, now: float) -> str | None:
         """The node that workers of a zone belong to, or None when it is this one."""
-        own, link = self.node.settings, self.node.link
-        leader = link.leader(now)
-        if own.zone == zone or (leader is None and self.node.controller is None):
+        own, peers = self.node.settings, self.node.peers
+        leader = peers.leader(now)
+        if own.zone == zone or (leader is None and self.node.leader_term is None):
             return None
         if leader is not None and leader.seed.zone == zone:
             return leader.seed.node
-        local = link.in_zone(zone, now)
+        local = peers.in_zone(zone, now)
         if local is not None:
             return local
-        return leader.seed.node if leader is not None and self.node.controller is None else None
+        return leader.seed.node if leader is not None and self.node.leader_term is None else None
 
     def _redirect(self, machine: str, home: str, now: float) -> str | None:
         """Send the worker home, unless it has just come back from there."""
         seen = self._known(machine, now)
-        if now - seen.redirected < c.REDIRECT_MEMORY_S:
-            seen.stay_until = now + c.RELAY_STICKY_S
+        if now - seen.redirected < constants.REDIRECT_MEMORY_S:
+            seen.stay_until = now + constants.FORWARD_STICKY_S
             seen.redirected = -math.inf
             seen.served = False
         if not seen.served or now < seen.stay_until:
@@ -195,24 +199,24 @@
     def _known(self, machine: str, now: float) -> Contact:
         """What this node remembers of a machine that reported to it though it does not lead."""
         seen = self._contacts.get(machine)
-        if seen is None or now - seen.at > c.CONTACT_MEMORY_S:
-            if len(self._contacts) > c.CONTACTS_MOST:
+        if seen is None or now - seen.at > constants.CONTACT_MEMORY_S:
+            if len(self._contacts) > constants.CONTACTS_MAX:
                 self._contacts.clear()
             seen = self._contacts[machine] = Contact()
         seen.at = now
         return seen
 
-    def _renew(self, report: w.Report) -> Answer:
+    def _renew(self, report: worker_messages.Report) -> Answer:
         """Keep the worker's tasks alive without a word of command."""
         term = max(report.token, self.node.known_term())
         if term == 0:
             return 503, msgspec.json.encode({"error": "no leader yet"})
-        return 200, msgspec.json.encode(w.Commands(term, []))
+        return 200, msgspec.json.encode(worker_messages.Commands(term, []))
 
 
-def _with(answer: bytes, halts: list[w.Command]) -> bytes:
+def _with(answer: bytes, halts: list[worker_messages.Command]) -> bytes:
     """The answer with these stops too, under its own term (invariant 8)."""
     given = _commands.decode(answer)
     told = {(command.op, command.task, command.attempt) for command in given.commands}
     more = [halt for halt in halts if (halt.op, halt.task, halt.attempt) not in told]
-    return msgspec.json.encode(w.Commands(given.token, given.commands + more)) if more else answer
+    return msgspec.json.encode(worker_messages.Commands(given.token, given.commands + more)) if more else answer
