--- a/tests/flow_world.py
+++ b/tests/flow_world.py
@@ -50,6 +50,9 @@
     async def until(self, what: Callable[[], Awaitable[Any]]) -> Any:
         end = time.monotonic() + PATIENCE_S
         while not (found := await what()):
+            for node, task in self.nodes.values():
+                # It would answer on, and never lead: what ended it is the finding, not the time that is over.
+                assert not task.done(), f"{node.settings.node} has ended: {task.exception()!r}"
             assert time.monotonic() < end, "it did not happen in time"
             await asyncio.sleep(0.05)
         return found
