--- a/standins/trial.py
+++ b/standins/trial.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 import pathlib
+import socket
 from collections.abc import Callable
 
 from tornado.httpserver import HTTPServer
 from tornado.netutil import bind_sockets
-from tornado.testing import bind_unused_port
 from tornado.web import Application
 
 from . import cloud, files, state
@@ -15,10 +15,13 @@
 from .processes import Processes
 
 
-def free_port() -> int:
-    sock, port = bind_unused_port()
-    sock.close()
-    return port
+def keep_port() -> socket.socket:
+    """A port that nobody is given by chance: bound here, never listened on, so that a node can still serve there."""
+    sock = socket.socket()
+    # Shared with who asks for this very port and has set this too, as tornado's servers do.
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock.bind(("127.0.0.1", 0))
+    return sock
 
 
 class Stage:
@@ -30,7 +33,9 @@
     ) -> None:
         self.state, self.store = state.StateService(), files.Store()
         self.processes = Processes(self.store, tasks) if tasks is not None else None
-        self.nodes = [(f"node-{i}", free_port(), free_port()) for i in range(count)]
+        self._kept = [keep_port() for _ in range(2 * count)]
+        ports = [sock.getsockname()[1] for sock in self._kept]
+        self.nodes = [(f"node-{i}", ports[2 * i], ports[2 * i + 1]) for i in range(count)]
         self.addresses = [f"127.0.0.1:{port}" for _, port, _ in self.nodes]
         self.cloud = cloud.Cloud([(name, f"127.0.0.1:{port}") for name, port, _ in self.nodes], run_s, self.processes)
         self._more = more
@@ -66,4 +71,6 @@
         self.cloud.delete(list(self.cloud.machines))
         for server in self._servers:
             server.stop()
+        for sock in self._kept:
+            sock.close()
         await self.state.close()
