--- a/standins/gangs.py
+++ b/standins/gangs.py
@@ -3,22 +3,37 @@
 from __future__ import annotations
 
 import asyncio
+import contextvars
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
-
-if TYPE_CHECKING:
-    from .worker import Worker
+from typing import Any, Protocol
 
 Key = tuple[str, int]  # task and attempt
 CHECK_S = 1.0  # s between two looks whether a member's machine still executes its task
 
 
+class Member(Protocol):
+    """What a gang needs of the worker that runs one of its tasks."""
+
+    context: contextvars.Context
+    tasks: dict[Key, dict[str, Any]]
+
+    def go(self, key: Key) -> None:
+        """Run a task that waited for its gang."""
+
+    def exit(self, key: Key, why: str) -> None:
+        """End a task, with the reason that its report gives."""
+
+    def stands_still(self) -> bool:
+        """Does the machine hang?"""
+        ...
+
+
 @dataclass(eq=False)
 class Gang:
     """One attempt of a gang."""
 
     size: int
-    members: dict[Key, Worker] = field(default_factory=dict)
+    members: dict[Key, Member] = field(default_factory=dict)
     running: bool = False
     broken: bool = False
 
@@ -30,7 +45,7 @@
         self.wait_s, self.peer_s = wait_s, peer_s
         self._gangs: dict[tuple[str, int], Gang] = {}  # job and attempt
 
-    def join(self, worker: Worker, key: Key, size: int) -> None:
+    def join(self, worker: Member, key: Key, size: int) -> None:
         """A task has its image and waits for the others; the last one starts them all."""
         gang = self._gangs.setdefault((key[0].partition("/")[0], key[1]), Gang(size))
         gang.members[key] = worker
@@ -45,7 +60,7 @@
         else:
             loop.call_later(self.wait_s, self._give_up, gang, worker, key)
 
-    def leave(self, worker: Worker, key: Key) -> None:
+    def leave(self, worker: Member, key: Key) -> None:
         """A task is no longer there. The others of a gang that runs notice it; one that waits goes on waiting."""
         gang = self._gangs.get((key[0].partition("/")[0], key[1]))
         if gang is None or gang.members.get(key) is not worker:
@@ -75,6 +90,6 @@
             loop.call_later(self.peer_s, worker.exit, key, "peers", context=worker.context)
 
     @staticmethod
-    def _give_up(gang: Gang, worker: Worker, key: Key) -> None:
+    def _give_up(gang: Gang, worker: Member, key: Key) -> None:
         if not gang.running:
             worker.exit(key, "alone")
