--- a/tests/test_batcher.py
+++ b/tests/test_batcher.py
@@ -10,10 +10,11 @@
 from winglift.config.settings import State
 from winglift.duties.duty import Fence
 from winglift.model import records
-from winglift.model.cluster_state import PROGRESS, ClusterState
+from winglift.model.cluster_state import ClusterState
 from winglift.model.machine_state import MachineState
 from winglift.model.record_application import apply_record
 from winglift.model.task_state import TaskState
+from winglift.model.write_priority import WritePriority
 from winglift.store.batcher import Batcher
 from winglift.store.client import Health, InvalidRequest, OutcomeUnknown, RequestRejected, StateClient
 from winglift.wire import state as state_messages
@@ -91,10 +92,13 @@
     """At one change per ended task, arrays once used up the changes a second, and services waited for their start."""
     state, cluster, batcher = prepared(6)
     for job in list(cluster.jobs.values())[:3]:
-        job.pending_write = PROGRESS
+        job.pending_write = WritePriority.PROGRESS
     state.tokens = 3
     settle(batcher)
-    assert state.sizes == [3] and [j.pending_write for j in cluster.jobs.values()] == [PROGRESS] * 3 + [0] * 3
+    assert (
+        state.sizes == [3]
+        and [j.pending_write for j in cluster.jobs.values()] == [WritePriority.PROGRESS] * 3 + [0] * 3
+    )
     state.tokens = 1000
     batcher._waits = dict.fromkeys(batcher._waits, -100.0)
     settle(batcher)
@@ -131,7 +135,7 @@
     """With five changes a second none were ever spare, and ended tasks would have stayed on their machines for good."""
     state, cluster, batcher = prepared(1)
     (job,) = cluster.jobs.values()
-    job.pending_write = PROGRESS
+    job.pending_write = WritePriority.PROGRESS
     batcher._waits = {job.ref: -100.0}
     state.tokens = 1
     settle(batcher)
--- a/tests/test_finals.py
+++ b/tests/test_finals.py
@@ -30,6 +30,7 @@
 from winglift.model.machine_state import MachineState
 from winglift.model.record_application import _apply_recorded_end as take_end
 from winglift.model.record_application import apply_commit, apply_record
+from winglift.model.write_priority import WritePriority
 from winglift.store.batcher import pack
 from winglift.store.client import Health, OutcomeUnknown
 from winglift.store.election import Election
@@ -284,7 +285,7 @@
 def test_a_recorded_end_goes_before_what_the_leader_has_seen(recorded):
     cluster, job = leading()
     job.move(JobEvent.COMPLETE)
-    job.request_write(1)
+    job.request_write(WritePriority.URGENT)
     apply_record(cluster, "wk-1", 7, msgspec.structs.replace(pack(job), state=recorded, cancelled_at=1.0), 1.0)
     assert job.state is JobState(recorded) and pack(job).state == recorded
 
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -276,4 +276,4 @@
     for _ in range(3):
         host.context.run(node.reports.handle, json.dumps(other).encode())
     assert len(node.leader_term.cluster.jobs["wk-1"].active) == 2
-    assert caplog.text.count("reports from") == 1
+    assert caplog.text.count("duplicate name") == 1
--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -236,7 +236,7 @@
             return []
         if report.token != self.term:
             return commands if entitled else []
-        due = due_commands(self.cluster.machines[report.machine], report, now, ends_only=not entitled)
+        due = due_commands(self.cluster.machines[report.machine], report, now, cancelled_only=not entitled)
         return commands + due if entitled else due
 
     def has_pending_starts(self, name: str) -> bool:
--- a/winglift/model/cluster_state.py
+++ b/winglift/model/cluster_state.py
@@ -19,11 +19,10 @@
 from .machine_state import MachineEvent, MachineState
 from .quota import QuotaUsage
 from .task_state import TaskEvent, TaskState
+from .write_priority import WritePriority
 
 log = logging.getLogger(__name__)
 
-URGENT, START, PROGRESS, CLEANUP = 1, 2, 3, 4  # how soon a change is written
-
 
 class ClusterState:
     """The cluster state of one term. Everything that changes who holds what passes here."""
@@ -80,7 +79,7 @@
             job.gang_started = job.gang_broken = False
             job.queued_since = now
         if job.committed_assignments.get(task.index) == (task.machine.name, task.attempt):
-            job.request_write(CLEANUP)
+            job.request_write(WritePriority.CLEANUP)
         self.changed = True
 
     def forget_job(self, job: Job) -> None:
@@ -139,7 +138,7 @@
         if not made:
             return False
         job.next_attempt = attempt + 1
-        job.request_write(START)
+        job.request_write(WritePriority.START)
         return True
 
     def request_stop(self, task: Task, grace_s: float, now: float, reason: str) -> None:
--- a/winglift/model/entities.py
+++ b/winglift/model/entities.py
@@ -16,6 +16,7 @@
 from .machine_state import TRANSITIONS as MACHINE_TRANSITIONS
 from .machine_state import MachineEvent, MachineState
 from .task_state import PRESENT, TaskEvent, TaskState, next_state
+from .write_priority import WritePriority
 
 Resources = tuple[float, float, float]  # CPUs, GPUs, GB of memory
 
@@ -35,7 +36,7 @@
     # what the committed record says: assignments by task number, and whether a task is done
     committed_assignments: dict[int, tuple[str, int]] = field(default_factory=dict)
     committed_state: JobState = JobState.OPEN
-    pending_write: int = 0  # 0: as recorded; the smaller the number above it, the sooner it is written
+    pending_write: WritePriority = WritePriority.NONE
     write_in_flight: bool = False
     deferred_change: tuple[int, bytes] | None = None  # a change by others, seen while a write is under way
     retry_not_before: float = 0.0
@@ -65,9 +66,9 @@
         self.state = JOB_TRANSITIONS[self.state, event]
         return self.state
 
-    def request_write(self, level: int) -> None:
-        """Its record must be written; the smaller the level, the sooner."""
-        self.pending_write = min(self.pending_write, level) if self.pending_write else level
+    def request_write(self, priority: WritePriority) -> None:
+        """Request a write of the job's record; of several requests the most urgent one counts."""
+        self.pending_write = min(self.pending_write, priority) if self.pending_write else priority
 
     def waiting_tasks(self, most: int) -> list[int]:
         """Numbers of tasks that neither are done nor hold a place, lowest first."""
--- a/winglift/model/record_application.py
+++ b/winglift/model/record_application.py
@@ -5,11 +5,12 @@
 import logging
 
 from . import records
-from .cluster_state import CLEANUP, ClusterState
+from .cluster_state import ClusterState
 from .entities import Job, Machine, Task
 from .job_state import JobEvent, JobState
 from .machine_state import MachineState
 from .task_state import TaskEvent, TaskState
+from .write_priority import WritePriority
 
 log = logging.getLogger(__name__)
 
@@ -63,7 +64,7 @@
         if task is not None:
             cluster.transition_and_release(task, TaskEvent.REJECT, now)
         if name in cluster.deleted_machines:
-            job.request_write(CLEANUP)
+            job.request_write(WritePriority.CLEANUP)
             continue
         _inherit_assignment(cluster, job, index, name, attempt, now)
     for task in list(job.active.values()):
--- a/winglift/model/report_reconciliation.py
+++ b/winglift/model/report_reconciliation.py
@@ -1,164 +1,263 @@
-"""What workers report, taken into the picture, and what they are answered."""
+"""Reconciliation of the cluster state with workers' reports, and the commands that answer them.
+
+Reports and commands: PROTOCOL, "Worker -> controller nodes". `task_reconciliation` applies what a report says of single
+tasks.
+"""
 
 from __future__ import annotations
 
 import logging
+from collections.abc import Container
 
 from .. import constants
 from ..wire import workers as worker_messages
-from ..wire.users import Kind
-from . import failure_attribution
-from .cluster_state import CLEANUP, PROGRESS, URGENT, ClusterState
+from . import task_reconciliation
+from .cluster_state import ClusterState
 from .entities import Machine, Task
-from .job_state import JobEvent, JobState
+from .job_state import JobState
 from .machine_state import MachineEvent, MachineState
 from .task_state import PRESENT, TaskEvent, TaskState
 
 log = logging.getLogger(__name__)
 
-_SEEN = {
-    worker_messages.Phase.FETCHING: TaskEvent.SEEN_FETCHING,
-    worker_messages.Phase.WAITING: TaskEvent.SEEN_WAITING,
-    worker_messages.Phase.RUNNING: TaskEvent.SEEN_RUNNING,
-    worker_messages.Phase.SAVING: TaskEvent.SEEN_SAVING,
-}
+TaskKey = tuple[str, int]  # job and task number
 
 
 def reconcile_report(
     cluster: ClusterState, report: worker_messages.Report, now: float, direct: bool = False
 ) -> list[worker_messages.Command] | None:
-    """Take in a report and return the commands to answer it with, or None if it is not to be answered."""
+    """Apply a worker's report to the cluster state; return the commands of the answer, or None for no answer.
+
+    `direct`: the report is the response to a request of this node (`/commands`, `/show`), not a report of the worker's
+    own. `now` is steady time in s.
+    """
     if report.machine in cluster.deleted_machines:
         return None
     if report.token < cluster.term and report.machine not in cluster.machines:
-        # Perhaps a copy that is minutes old, of a machine that an earlier term has deleted: it is no room. A machine
-        # that is there learns the term from this answer, and its next report shows it.
+        # Perhaps a copy that is minutes old, of a machine that an earlier term has deleted: it is no capacity. A
+        # machine that exists learns the term from this answer, and its next report carries it.
         return []
     machine = cluster.register_machine(report.machine, report.type, report.zone, report.spot, now, None)
     if (report.session, report.seq) <= (machine.session, machine.seq):
-        return None  # late: it must never free a task
-    if machine.seq >= 0 and report.session == machine.session and report.addr != machine.addr:
-        # Two that go by one name: what the one does not have says nothing about the other, so only the first is heard.
-        if not machine.duplicate_name_logged:
-            log.error(
-                "%s reports from %s, and from %s as well: only the first is heard",
-                machine.name,
-                machine.addr,
-                report.addr,
-            )
-        machine.duplicate_name_logged = True
+        return None  # delayed or repeated: it must never free a task
+    if _is_duplicate_name(machine, report):
+        _log_duplicate_name(machine, report)
         return None
     if report.token < cluster.term:
         # Made before this term was known there, perhaps minutes ago. It proves nothing.
         # Answering it with no commands brings the term to the worker.
         return []
     new_session = report.session > machine.session
+    _update_responsiveness(cluster, machine, report, new_session, now, direct)
+    _update_contact(machine, report, now, direct)
+    _complete_boot(cluster, machine, now)
+    _apply_reclaim_notice(cluster, machine, report, now)
+    listed, commands = _reconcile_listed_tasks(cluster, machine, report, now)
+    # A response of /commands may have been made while our answer to a report was under way, so only a report shows that
+    # a start did not take effect. But a new session has nothing of the one before it, and drops answers to its reports.
+    if not direct or new_session:
+        _reconcile_absent_tasks(cluster, machine, report, listed, now, direct)
+    commands += _reap_commands(cluster, machine, report)
+    return commands
+
+
+def _is_duplicate_name(machine: Machine, report: worker_messages.Report) -> bool:
+    """Whether a second worker reports under the machine's name, from another address within the same session.
+
+    Its task list says nothing about the first worker's tasks, so only the first one's reports are accepted.
+    """
+    return machine.seq >= 0 and report.session == machine.session and report.addr != machine.addr
+
+
+def _log_duplicate_name(machine: Machine, report: worker_messages.Report) -> None:
+    """Log a duplicate machine name once per machine."""
+    if not machine.duplicate_name_logged:
+        log.error(
+            "machine %s: duplicate name, accepted_addr=%s ignored_addr=%s",
+            machine.name,
+            machine.addr,
+            report.addr,
+        )
+    machine.duplicate_name_logged = True
+
+
+def _update_responsiveness(
+    cluster: ClusterState,
+    machine: Machine,
+    report: worker_messages.Report,
+    new_session: bool,
+    now: float,
+    direct: bool,
+) -> None:
+    """Update whether the node's commands reach the machine, before the report's session is taken over."""
     if not direct:
         _check_commands_acknowledged(cluster, machine, report, new_session, now)
     elif machine.state is MachineState.UNRESPONSIVE:
-        machine.move(MachineEvent.COMMANDS_ACKNOWLEDGED)  # it has answered a question
-        log.info("%s hears again", machine.name)
+        machine.move(MachineEvent.COMMANDS_ACKNOWLEDGED)  # it has answered a request
+        log.info("machine %s: responsive again", machine.name)
         cluster.changed = True
+
+
+def _update_contact(machine: Machine, report: worker_messages.Report, now: float, direct: bool) -> None:
+    """Take over the report's session, sequence number and address, and the time of the latest report."""
     machine.session, machine.seq = report.session, report.seq
     if not direct or machine.last_heard is None:
-        # A machine that answers questions and reaches no node gets no starts, and nothing renews its lease: it is as
-        # silent as any other. Its answers once made it look sound: replicas were missed until it reached a node again.
+        # A machine that answers requests and reaches no node gets no starts, and nothing renews its lease: it counts as
+        # silent. Its answers once made it look sound: replicas were missed until it reached a node again.
         machine.last_heard = now
     machine.addr = report.addr
-    if machine.state in (MachineState.BOOTING, MachineState.INHERITED):
-        if machine.state is MachineState.BOOTING and cluster.boot_tracker.boot_completed(machine, now):
-            log.info("%s came up in time: new machines do so in %s again", machine.name, machine.zone)
-        machine.move(MachineEvent.REPORT)
-        machine.idle_since = now
-        cluster.changed = True
-    if report.notice_s is not None and machine.reclaim_at is None:
-        machine.reclaim_at = now + report.notice_s
-        machine.drain_reason = "notice"
-        machine.move(MachineEvent.DRAIN)
-        cluster.changed = True
-        log.info("%s: will be taken in %.1f s, %d tasks on it", machine.name, report.notice_s, len(machine.tasks))
-    listed: dict[tuple[str, int], worker_messages.TaskReport] = {}
+
+
+def _complete_boot(cluster: ClusterState, machine: Machine, now: float) -> None:
+    """Move a machine to UP on its first report under this term."""
+    if machine.state not in (MachineState.BOOTING, MachineState.INHERITED):
+        return
+    if machine.state is MachineState.BOOTING and cluster.boot_tracker.boot_completed(machine, now):
+        log.info("machine %s: booted in time, capacity pool recovered, zone=%s", machine.name, machine.zone)
+    machine.move(MachineEvent.REPORT)
+    machine.idle_since = now
+    cluster.changed = True
+
+
+def _apply_reclaim_notice(cluster: ClusterState, machine: Machine, report: worker_messages.Report, now: float) -> None:
+    """Drain a machine on the first report that carries a spot reclaim notice."""
+    if report.notice_s is None or machine.reclaim_at is not None:
+        return
+    machine.reclaim_at = now + report.notice_s
+    machine.drain_reason = "notice"
+    machine.move(MachineEvent.DRAIN)
+    cluster.changed = True
+    log.info(
+        "machine %s: spot reclaim notice, notice_s=%.1f tasks=%d", machine.name, report.notice_s, len(machine.tasks)
+    )
+
+
+def _reconcile_listed_tasks(
+    cluster: ClusterState, machine: Machine, report: worker_messages.Report, now: float
+) -> tuple[dict[TaskKey, worker_messages.TaskReport], list[worker_messages.Command]]:
+    """Apply the tasks that a report lists; return those that are assigned there, and stops for those that are not."""
+    listed: dict[TaskKey, worker_messages.TaskReport] = {}
     commands: list[worker_messages.Command] = []
     machine.unknown_tasks.clear()
-    for piece in report.tasks:
-        key = piece.key()
+    for task_report in report.tasks:
+        key = task_report.key()
         if key is None:
             continue
         task = machine.tasks.get(key)
-        if task is not None and task.attempt == piece.attempt and task.state is not TaskState.PROPOSED:
-            listed[key] = piece
-            _task_reported(cluster, task, piece, now)
-        elif piece.phase is worker_messages.Phase.EXITED:
-            pass
-        else:
-            # In no record: nobody may have started it. It is stopped, and its room counts till then.
-            machine.unknown_tasks[key] = piece.attempt
-            log.warning("%s: runs %s attempt %d, which no record names", machine.name, piece.task, piece.attempt)
-            commands.append(worker_messages.halt(piece.task, piece.attempt, 0))
-    # A response of /commands may have been made while our answer to a report was under way, so only a report shows that
-    # a start did not take effect. But a new session has nothing of the one before it, and drops answers to its reports.
-    for key, task in list(machine.tasks.items() if not direct or new_session else ()):
-        # A gang that breaks takes back its unsent members, on this machine too: those are gone already.
+        if task is not None and task.attempt == task_report.attempt and task.state is not TaskState.PROPOSED:
+            listed[key] = task_report
+            task_reconciliation.apply_task_report(cluster, task, task_report, now)
+        elif task_report.phase is not worker_messages.Phase.EXITED:
+            # In no record: nobody may have started it. It is stopped, and uses capacity until then.
+            machine.unknown_tasks[key] = task_report.attempt
+            log.warning(
+                "machine %s: task in no record, task=%s attempt=%d",
+                machine.name,
+                task_report.task,
+                task_report.attempt,
+            )
+            commands.append(worker_messages.halt(task_report.task, task_report.attempt, 0))
+    return listed, commands
+
+
+def _reconcile_absent_tasks(
+    cluster: ClusterState,
+    machine: Machine,
+    report: worker_messages.Report,
+    listed: Container[TaskKey],
+    now: float,
+    direct: bool,
+) -> None:
+    """Apply the absence of the machine's tasks that a report does not list."""
+    for key, task in list(machine.tasks.items()):
+        # A gang that breaks releases its unsent members, on this machine too: those are gone already.
         if (
             key not in listed
             and task.state not in (TaskState.PROPOSED, TaskState.GONE)
             and (not direct or _of_older_session(task, report))
         ):
-            _task_absent(cluster, task, report, new_session, now)
-    for piece in report.tasks:
-        key = piece.key()
+            task_reconciliation.apply_absence(cluster, task, report, now)
+
+
+def _reap_commands(
+    cluster: ClusterState, machine: Machine, report: worker_messages.Report
+) -> list[worker_messages.Command]:
+    """The `reap` commands for the exited tasks of a report whose exits are recorded."""
+    commands: list[worker_messages.Command] = []
+    for task_report in report.tasks:
+        key = task_report.key()
         if (
             key is not None
-            and piece.phase is worker_messages.Phase.EXITED
-            and _may_reap(cluster, key, machine, piece.attempt)
+            and task_report.phase is worker_messages.Phase.EXITED
+            and _may_remove_exited(cluster, key, machine, task_report.attempt)
         ):
-            commands.append(worker_messages.reap(piece.task, piece.attempt))
+            commands.append(worker_messages.reap(task_report.task, task_report.attempt))
     return commands
 
 
 def _check_commands_acknowledged(
     cluster: ClusterState, machine: Machine, report: worker_messages.Report, new_session: bool, now: float
 ) -> None:
-    """Do our answers reach it? Told by what its reports show, never by a single lost answer.
+    """Detect a machine whose reports arrive but which our answers do not reach.
 
-    A worker's lease runs from its last answered report. If it ended although reports had come all the while, they were
-    answered in vain; and what is sent in answers shows in the next report, or the answer was lost.
+    Judged by what its reports show, never by a single lost answer. A worker's lease runs from its last answered report.
+    If it ended although reports had come all the while, they were answered in vain; and what is sent in answers shows
+    in the next report, or the answer was lost.
     """
-    # Few reports follow a start: the others cost no look at what they list.
-    sent = [
-        t
-        for t in machine.tasks.values()
-        if t.state is TaskState.SENT and t.sent_session == report.session and t.sent_seq < report.seq
-    ]
-    listed = {piece.key(): piece.attempt for piece in report.tasks} if sent else {}
-    in_vain = (
-        new_session
-        and machine.session > 0
-        and machine.last_heard is not None
-        and now - machine.last_heard < cluster.settings.settings.workers.lease_s * constants.UNRESPONSIVE_LEASE_SHARE
-    )
-    if any(listed.get((t.job.ref, t.index)) == t.attempt for t in sent):
+    sent = _starts_due_in_report(machine, report)
+    if _shows_a_start(report, sent):
         machine.unacknowledged_reports = 0
         if machine.state is MachineState.UNRESPONSIVE:
             machine.move(MachineEvent.COMMANDS_ACKNOWLEDGED)
-            log.info("%s hears again", machine.name)
+            log.info("machine %s: responsive again", machine.name)
         return
-    machine.unacknowledged_reports = (
-        constants.UNRESPONSIVE_REPORTS if in_vain else machine.unacknowledged_reports + bool(sent)
-    )
+    if _session_lost_while_reporting(cluster, machine, new_session, now):
+        machine.unacknowledged_reports = constants.UNRESPONSIVE_REPORTS
+    elif sent:
+        machine.unacknowledged_reports += 1
     if machine.unacknowledged_reports >= constants.UNRESPONSIVE_REPORTS and machine.state is MachineState.UP:
         machine.move(MachineEvent.COMMANDS_IGNORED)
         machine.unresponsive_since = now
         cluster.changed = True
         log.info(
-            "%s reports and does not hear: nothing more is placed there (%d tasks on it)",
+            "machine %s: unresponsive, reports arrive but commands do not take effect; no placements, tasks=%d",
             machine.name,
             len(machine.tasks),
         )
 
 
-def _may_reap(cluster: ClusterState, key: tuple[str, int], machine: Machine, attempt: int) -> bool:
-    """Only once the record no longer names the place: for a finished task, once `done` is committed (6)."""
+def _starts_due_in_report(machine: Machine, report: worker_messages.Report) -> list[Task]:
+    """The tasks whose start was sent in the answer to an earlier report of this session."""
+    return [
+        task
+        for task in machine.tasks.values()
+        if task.state is TaskState.SENT and task.sent_session == report.session and task.sent_seq < report.seq
+    ]
+
+
+def _shows_a_start(report: worker_messages.Report, sent: list[Task]) -> bool:
+    """Whether the report lists at least one of the starts that were sent."""
+    if not sent:
+        return False  # few reports follow a start: for the others the task list need not be read
+    listed = {task_report.key(): task_report.attempt for task_report in report.tasks}
+    return any(listed.get((task.job.ref, task.index)) == task.attempt for task in sent)
+
+
+def _session_lost_while_reporting(cluster: ClusterState, machine: Machine, new_session: bool, now: float) -> bool:
+    """Whether the worker's lease expired although its reports arrived: none of their answers reached it."""
+    return (
+        new_session
+        and machine.session > 0
+        and machine.last_heard is not None
+        and now - machine.last_heard < cluster.settings.settings.workers.lease_s * constants.UNRESPONSIVE_LEASE_SHARE
+    )
+
+
+def _may_remove_exited(cluster: ClusterState, key: tuple[str, int], machine: Machine, attempt: int) -> bool:
+    """Whether an exited task may be reaped: once the record no longer assigns it there (invariant 6).
+
+    For a finished task, that is once `done` is committed.
+    """
     job = cluster.jobs.get(key[0])
     if job is None:
         return True
@@ -169,15 +268,15 @@
 
 
 def due_commands(
-    machine: Machine, report: worker_messages.Report, now: float, ends_only: bool = False
+    machine: Machine, report: worker_messages.Report, now: float, cancelled_only: bool = False
 ) -> list[worker_messages.Command]:
-    """Starts and stops due on a machine; with `ends_only` just the stops of cancelled tasks.
+    """Starts and stops due on a machine; with `cancelled_only` just the stops of cancelled tasks.
 
-    Starts go only here, in a report's response (invariant 3).
+    Starts are sent only here, in a report's response (invariant 3).
     """
     commands: list[worker_messages.Command] = []
     for task in list(machine.tasks.values()):
-        if ends_only and task.job.state is not JobState.CANCELLED:
+        if cancelled_only and task.job.state is not JobState.CANCELLED:
             continue
         if task.stopping:
             if task.state in PRESENT and (task.state is not TaskState.SAVING or task.stop_grace_s == 0):
@@ -189,121 +288,9 @@
     return commands
 
 
-def _task_reported(cluster: ClusterState, task: Task, piece: worker_messages.TaskReport, now: float) -> None:
-    job, machine = task.job, task.machine
-    if piece.phase is worker_messages.Phase.EXITED:
-        _task_exited(cluster, task, piece, now)
-        return
-    before = task.state
-    task.move(_SEEN[piece.phase], now)
-    if before is not task.state:
-        cluster.changed = True
-        log.debug("%s attempt %d on %s is %s", task.name, task.attempt, machine.name, task.state.name)
-        if task.state in (TaskState.RUNNING, TaskState.WAITING):
-            machine.remember_image(job.spec.image, job.spec.image_gb)
-        if task.state is TaskState.RUNNING:
-            job.gang_started = True
-    if not job.is_open and not task.stopping and job.state is JobState.CANCELLED:
-        cluster.request_stop(task, 0.0, now, "cancelled")
-
-
-def _task_exited(cluster: ClusterState, task: Task, piece: worker_messages.TaskReport, now: float) -> None:
-    job, machine = task.job, task.machine
-    run_s = now - task.running_since if task.running_since is not None else None
-    task.move(TaskEvent.SEEN_EXITED, now)
-    why = piece.why or worker_messages.Why.ERROR
-    if why == worker_messages.Why.DONE:
-        log.debug("%s attempt %d on %s: done", task.name, task.attempt, machine.name)
-        failure_attribution.record_completion(job, machine)
-        if job.kind is Kind.GANG:
-            # They complete together: if one task is done, so are all.
-            for index in range(job.spec.tasks):
-                job.done.add(index)
-        else:
-            job.done.add(task.index)
-        job.request_write(PROGRESS)
-        if run_s is not None and job.spec.estimate_s > 0 and not piece.saved:
-            ratio = max(0.2, min(5.0, run_s / job.spec.estimate_s))
-            old = cluster.runtime_ratio.get(job.spec.job_class, 1.0)
-            cluster.runtime_ratio[job.spec.job_class] = old + 0.1 * (ratio - old)
-        if job.done.complete() and job.is_open:
-            job.move(JobEvent.COMPLETE)
-            job.request_write(URGENT)
-            cluster.on_ending()
-            log.debug("%s is done", job.ref)
-        cluster.release(task, now)
-        for name in list(job.failed_on):
-            _suspect_machine(cluster, cluster.machines.get(name), now)
-    else:
-        cluster.release(task, now)
-        _task_failed(cluster, task, why, now)
-    job.request_write(CLEANUP)
-
-
-def _task_failed(cluster: ClusterState, task: Task, why: str, now: float) -> None:
-    job, machine = task.job, task.machine
-    log.debug("%s attempt %d on %s: %s", task.name, task.attempt, machine.name, why)
-    if why == worker_messages.Why.ERROR:
-        before = failure_attribution.job_is_suspect(job, now)
-        failure_attribution.record_failure(job, machine)
-        _suspect_machine(cluster, machine, now)
-        if failure_attribution.job_is_suspect(job, now) and not before:
-            # What failed together before was one round, however many tasks it was and whenever each was heard of: the
-            # first pause was often the longest, 120 s, also for a sound job that had met two faulty machines.
-            job.failed_rounds = 0
-            log.info(
-                "%s: failed on %s and ran nowhere; from now on it is tried rarely", job.ref, ", ".join(job.failed_on)
-            )
-    if why in (
-        worker_messages.Why.ERROR,
-        worker_messages.Why.NO_ROOM,
-        worker_messages.Why.BUSY,
-        worker_messages.Why.UNKNOWN,
-    ):
-        if now >= job.retry_not_before:
-            # Tasks that fail together are one round: eight at once had asked for the longest pause.
-            job.failed_rounds += 1
-        if why != worker_messages.Why.ERROR or failure_attribution.job_is_suspect(job, now):
-            job.retry_not_before = max(job.retry_not_before, now + failure_attribution.retry_delay_s(job, now))
-    if job.kind is Kind.GANG:
-        cluster.break_gang(job, now, f"{task.name} ended: {why}")
-
-
-def _suspect_machine(cluster: ClusterState, machine: Machine | None, now: float) -> None:
-    if machine is not None and machine.state is MachineState.UP and failure_attribution.machine_is_faulty(machine, now):
-        log.info("%s: counts as faulty after %d failed tasks", machine.name, sum(machine.attributed_failures.values()))
-        failure_attribution.exonerate_jobs_on(machine, now)
-        machine.drain_reason = "faulty"
-        machine.move(MachineEvent.DRAIN)
-        cluster.changed = True
-
-
 def _of_older_session(task: Task, report: worker_messages.Report) -> bool:
-    """Was it surely sent in a session before this one? Of an inherited one that is not known: the leader before may
-    have sent it in an answer that is still under way."""
-    return task.state in PRESENT or (task.state is TaskState.SENT and task.sent_session < report.session)
-
+    """Whether the task was surely started in a session before the report's.
 
-def _task_absent(
-    cluster: ClusterState, task: Task, report: worker_messages.Report, new_session: bool, now: float
-) -> None:
-    """A newer report does not list the task: it is proven off the machine."""
-    job = task.job
-    if task.state is TaskState.SENT and report.session == task.sent_session and report.seq <= task.sent_seq:
-        return
-    # Records come to more than a team's limit where a place was free and given to another job, and its own record did
-    # not say so yet when all nodes ended. Such a place was once started again, 25 GPUs of 24 (invariant 5).
-    stale = task.state is TaskState.UNKNOWN and cluster.quota.exceeded(job.spec.team)
-    task.move(TaskEvent.ABSENT, now)
-    if task.state is TaskState.GONE or stale or task.stopping or not job.is_open or not task.machine.accepts_tasks:
-        gone = task.state is TaskState.GONE
-        if not gone:
-            task.move(TaskEvent.MACHINE_GONE, now)
-        log.debug("%s is no longer on %s", task.name, task.machine.name)
-        cluster.release(task, now)
-        if job.kind is Kind.GANG:
-            cluster.break_gang(job, now, f"{task.name} is gone")
-    elif job.kind is Kind.GANG and any(t.state is TaskState.RUNNING for t in job.active.values()):
-        task.move(TaskEvent.MACHINE_GONE, now)
-        cluster.release(task, now)
-        cluster.break_gang(job, now, f"{task.name} is not there")
+    Not known of an inherited task: the leader before may have sent its start in an answer that is still under way.
+    """
+    return task.state in PRESENT or (task.state is TaskState.SENT and task.sent_session < report.session)
--- a/winglift/store/batcher.py
+++ b/winglift/store/batcher.py
@@ -12,11 +12,12 @@
 from ..config.settings import State
 from ..duties.duty import Fence
 from ..model import records
-from ..model.cluster_state import START, ClusterState
+from ..model.cluster_state import ClusterState
 from ..model.entities import Job
 from ..model.job_state import JobState
 from ..model.record_application import apply_commit, apply_record
 from ..model.task_state import TaskEvent, TaskState
+from ..model.write_priority import WritePriority
 from ..net.runtime import monotonic_time
 from ..wire import state as state_messages
 from .client import Health, InvalidRequest, LeaseExpired, OutcomeUnknown, RequestRejected, StateClient
@@ -89,12 +90,16 @@
     def _due(self, free: int, now: float) -> tuple[list[Job], bool]:
         """What is to be written now, most urgent first, and whether there is more that waits."""
         dirty = [j for j in self.cluster.jobs.values() if j.pending_write and not j.write_in_flight]
-        due = [j for j in dirty if j.pending_write <= START]
+        due = [j for j in dirty if j.pending_write <= WritePriority.START]
         due.sort(key=lambda j: (j.pending_write, -j.spec.priority.rank, j.submitted_at))
-        waiting = {j.ref: self._waits.get(j.ref, now) for j in dirty if j.pending_write > START}
+        waiting = {j.ref: self._waits.get(j.ref, now) for j in dirty if j.pending_write > WritePriority.START}
         self._waits = waiting
         spare = free - len(due) - int(self.limits.write_rps * constants.START_WRITES_KEPT)
-        late = [j for j in dirty if j.pending_write > START and now - waiting[j.ref] >= constants.PROGRESS_AFTER_S]
+        late = [
+            j
+            for j in dirty
+            if j.pending_write > WritePriority.START and now - waiting[j.ref] >= constants.PROGRESS_AFTER_S
+        ]
         late.sort(key=lambda j: waiting[j.ref])
         # However busy the service is, or small its budget: what has waited this long is due like a start.
         overdue = sum(now - waiting[j.ref] >= constants.PROGRESS_DELAY_MAX_S for j in late)
@@ -116,7 +121,7 @@
                 changes.append(records.record_change(job.ref, job.version, job.committed_state, record))
             except records.FinalStateViolation as err:
                 log.error("not written: %s", err)
-                job.pending_write = 0
+                job.pending_write = WritePriority.NONE
                 continue
             size += length
             batch.append((job, record))
@@ -125,7 +130,7 @@
         levels = {}
         for job, _ in batch:
             levels[job.ref] = job.pending_write
-            job.pending_write = 0
+            job.pending_write = WritePriority.NONE
             job.write_in_flight = True
         # Every leader write is conditional on the leadership key at its revision (invariant 1).
         txn = state_messages.Transaction(
@@ -142,7 +147,10 @@
             self.flush()
 
     async def _write(
-        self, batch: list[tuple[Job, records.JobRecord]], txn: state_messages.Transaction, levels: dict[str, int]
+        self,
+        batch: list[tuple[Job, records.JobRecord]],
+        txn: state_messages.Transaction,
+        levels: dict[str, WritePriority],
     ) -> None:
         try:
             result = await self.state.commit(txn, max_wait=3.0)
@@ -190,7 +198,7 @@
                 apply_record(self.cluster, job.ref, version, records.decode(value), monotonic_time())
         self.cluster.changed = True
 
-    def _mark_for_retry(self, batch: list[tuple[Job, records.JobRecord]], levels: dict[str, int]) -> None:
+    def _mark_for_retry(self, batch: list[tuple[Job, records.JobRecord]], levels: dict[str, WritePriority]) -> None:
         for job, _ in batch:
             job.request_write(levels[job.ref])
 
