--- a/tests/test_finals.py
+++ b/tests/test_finals.py
@@ -28,7 +28,7 @@
 from winglift.model.job_state import JOB_TRANSITIONS, JobEvent, JobState
 from winglift.model.leadership import Role
 from winglift.model.machine_state import MachineState
-from winglift.model.record_application import _apply_recorded_end as take_end
+from winglift.model.record_application import _apply_final_state as apply_final_state
 from winglift.model.record_application import apply_commit, apply_record
 from winglift.model.write_priority import WritePriority
 from winglift.store.batcher import pack
@@ -365,8 +365,8 @@
     """Either of the two alone keeps the end that the user was told."""
     if guard == "the record goes first":
         monkeypatch.setattr(
-            "winglift.model.record_application._apply_recorded_end",
-            lambda job, loaded: job.is_open and take_end(job, loaded),
+            "winglift.model.record_application._apply_final_state",
+            lambda job, loaded: job.is_open and apply_final_state(job, loaded),
         )
         play = Play("lost", "", 0.0, 0.5)
         assert not play.broken  # the one place where changes are made has refused it
--- a/winglift/model/entities.py
+++ b/winglift/model/entities.py
@@ -187,6 +187,51 @@
     pending_fetches: int  # images that it fetches, or will once the starts arrive
 
 
+class _TasksByDisposition:
+    """Sums over a machine's tasks: those being stopped, replicas, preemptible tasks and the pinned rest."""
+
+    __slots__ = (
+        "by_rank",
+        "pinned",
+        "preemptible",
+        "releasing_cpus",
+        "releasing_gpus",
+        "releasing_memory_gb",
+        "replicas",
+        "stopping_by_team",
+    )
+
+    def __init__(self) -> None:
+        self.releasing_cpus = self.releasing_gpus = self.releasing_memory_gb = 0.0
+        self.stopping_by_team: dict[str, tuple[float, float]] = {}
+        self.replicas = self.preemptible = self.pinned = 0
+        self.by_rank: list[Resources] = [(0.0, 0.0, 0.0)] * 3
+
+    def add(self, task: Task) -> None:
+        """Add one task to the sums of its kind."""
+        if task.stopping:
+            self._add_stopping(task.job.spec)
+        elif task.is_running_replica:
+            self.replicas += 1
+        elif task.preemptible:
+            self._add_preemptible(task.job.spec)
+        else:
+            self.pinned += 1
+
+    def _add_stopping(self, spec: Submission) -> None:
+        self.releasing_cpus += spec.cpus
+        self.releasing_gpus += spec.gpus
+        self.releasing_memory_gb += spec.memory_gb
+        team_cpus, team_gpus = self.stopping_by_team.get(spec.team, (0.0, 0.0))
+        self.stopping_by_team[spec.team] = (team_cpus + spec.cpus, team_gpus + spec.gpus)
+
+    def _add_preemptible(self, spec: Submission) -> None:
+        self.preemptible += 1
+        for rank in range(spec.priority.rank, 3):
+            cpus, gpus, memory_gb = self.by_rank[rank]
+            self.by_rank[rank] = (cpus + spec.cpus, gpus + spec.gpus, memory_gb + spec.memory_gb)
+
+
 @dataclass(slots=True, eq=False)
 class Machine:
     """A rented machine as the leader sees it."""
@@ -228,47 +273,34 @@
         return self._usage
 
     def _compute_usage(self) -> MachineUsage:
-        cpus = gpus = memory = soon_cpus = soon_gpus = soon_memory = 0.0
-        replicas = yields = fixed = 0
-        stopping: dict[str, tuple[float, float]] = {}
-        by_rank = [(0.0, 0.0, 0.0)] * 3
+        cpus = gpus = memory = 0.0
         images = set(self.images)
-        coming = set()
+        missing_images = set()
+        tasks = _TasksByDisposition()
         for task in self.tasks.values():
             spec = task.job.spec
-            cpus, gpus, memory = cpus + spec.cpus, gpus + spec.gpus, memory + spec.memory_gb
+            cpus += spec.cpus
+            gpus += spec.gpus
+            memory += spec.memory_gb
             images.add(spec.image)
             if spec.image not in self.images:
-                coming.add(spec.image)
-            if task.stopping:
-                soon_cpus, soon_gpus = soon_cpus + spec.cpus, soon_gpus + spec.gpus
-                soon_memory += spec.memory_gb
-                before = stopping.get(spec.team, (0.0, 0.0))
-                stopping[spec.team] = (before[0] + spec.cpus, before[1] + spec.gpus)
-            elif task.is_running_replica:
-                replicas += 1
-            elif task.preemptible:
-                yields += 1
-                for rank in range(spec.priority.rank, 3):
-                    had = by_rank[rank]
-                    by_rank[rank] = had[0] + spec.cpus, had[1] + spec.gpus, had[2] + spec.memory_gb
-            else:
-                fixed += 1
+                missing_images.add(spec.image)
+            tasks.add(task)
         return MachineUsage(
-            cpus,
-            gpus,
-            memory,
-            soon_cpus,
-            soon_gpus,
-            soon_memory,
-            stopping,
-            replicas,
-            yields,
-            (by_rank[0], by_rank[1], by_rank[2]),
-            fixed,
-            frozenset(images),
-            frozenset(self.images),
-            len(coming),
+            cpus=cpus,
+            gpus=gpus,
+            memory_gb=memory,
+            releasing_cpus=tasks.releasing_cpus,
+            releasing_gpus=tasks.releasing_gpus,
+            releasing_memory_gb=tasks.releasing_memory_gb,
+            stopping_by_team=tasks.stopping_by_team,
+            replicas=tasks.replicas,
+            preemptible_tasks=tasks.preemptible,
+            preemptible_by_rank=(tasks.by_rank[0], tasks.by_rank[1], tasks.by_rank[2]),
+            pinned_tasks=tasks.pinned,
+            images=frozenset(images),
+            cached_images=frozenset(self.images),
+            pending_fetches=len(missing_images),
         )
 
     def move(self, event: MachineEvent) -> MachineState:
--- a/winglift/model/record_application.py
+++ b/winglift/model/record_application.py
@@ -1,4 +1,4 @@
-"""What job records say, taken into the picture. The record is the truth about places."""
+"""Application of job records to the cluster state. The committed record is the truth about assignments."""
 
 from __future__ import annotations
 
@@ -14,47 +14,74 @@
 
 log = logging.getLogger(__name__)
 
-_RECORDED_END = {JobState.DONE: JobEvent.RECORD_DONE, JobState.CANCELLED: JobEvent.RECORD_CANCELLED}
+_EVENT_OF_FINAL_STATE = {JobState.DONE: JobEvent.RECORD_DONE, JobState.CANCELLED: JobEvent.RECORD_CANCELLED}
 
 
 def apply_record(cluster: ClusterState, ref: str, version: int, record: records.JobRecord, now: float) -> Job | None:
-    """Take over what a record says; the record is the truth about places."""
+    """Apply a job's record as read at `version`; return the job, or None if it ended and holds nothing.
+
+    The record is the truth about assignments. A version no newer than the known one changes nothing. `now` is steady
+    time in s. Raises InvalidRecord.
+    """
     job = cluster.jobs.get(ref)
     if version <= (job.version if job is not None else cluster.finished_versions.get(ref, 0)):
         return job
     loaded = records.unpack(record)
     known = job is not None
     if job is not None and _assigned_by_other_leader(job, loaded):
-        # This picture is out of date. What it holds is not written again: it keeps the version that it was read at.
+        # This state is out of date. What it holds is not written again: it keeps the version that it was read at.
         cluster.superseded = True
         return job
     if job is None:
         if loaded.state is not JobState.OPEN and not loaded.assignments:
             return None
-        job = Job(ref, loaded.spec, loaded.submitted_at, done=loaded.done, queued_since=now)
-        cluster.jobs[ref] = job
-        spec = job.spec
-        if spec.due_s is None and loaded.state is JobState.OPEN:
-            cluster.on_urgent()
-        log.debug(
-            "new %s: %s %s of %s, %d tasks of %g GPUs, priority %s, due in %s",
-            ref,
-            spec.job_class,
-            spec.kind.value,
-            spec.team,
-            spec.tasks,
-            spec.gpus,
-            spec.priority.value,
-            spec.due_s,
-        )
+        job = _add_job(cluster, ref, loaded, now)
     else:
-        for index in loaded.done.above:
-            job.done.add(index)
-        if loaded.done.first_open > job.done.first_open:
-            loaded.done.above |= {i for i in job.done.above if i >= loaded.done.first_open}
-            job.done = records.CompletedTasks(loaded.done.count, loaded.done.first_open, loaded.done.above)
+        _merge_done(job, loaded)
     job.next_attempt = max(job.next_attempt, loaded.next_attempt)
     _take_version(job, version, loaded)
+    _apply_assignments(cluster, job, loaded, now)
+    _reject_unrecorded_proposals(cluster, job, loaded, now)
+    if _apply_final_state(job, loaded) and job.state is JobState.CANCELLED:
+        _note_cancellation(cluster, job, loaded, known)
+    job.known_open_before_write = None
+    if job.state is JobState.CANCELLED:
+        cluster.request_stop_of_all(job, now, "cancelled")
+    cluster.changed = True
+    return job
+
+
+def _add_job(cluster: ClusterState, ref: str, loaded: records.UnpackedRecord, now: float) -> Job:
+    job = Job(ref, loaded.spec, loaded.submitted_at, done=loaded.done, queued_since=now)
+    cluster.jobs[ref] = job
+    spec = job.spec
+    if spec.due_s is None and loaded.state is JobState.OPEN:
+        cluster.on_urgent()
+    log.debug(
+        "job %s: new, class=%s kind=%s team=%s tasks=%d gpus=%g priority=%s due_s=%s",
+        ref,
+        spec.job_class,
+        spec.kind.value,
+        spec.team,
+        spec.tasks,
+        spec.gpus,
+        spec.priority.value,
+        spec.due_s,
+    )
+    return job
+
+
+def _merge_done(job: Job, loaded: records.UnpackedRecord) -> None:
+    """Merge the record's completed tasks into those that this leader has seen; none is lost."""
+    for index in loaded.done.above:
+        job.done.add(index)
+    if loaded.done.first_open > job.done.first_open:
+        loaded.done.above |= {i for i in job.done.above if i >= loaded.done.first_open}
+        job.done = records.CompletedTasks(loaded.done.count, loaded.done.first_open, loaded.done.above)
+
+
+def _apply_assignments(cluster: ClusterState, job: Job, loaded: records.UnpackedRecord, now: float) -> None:
+    """Commit the proposals that the record names, and take over its other assignments."""
     for index, (name, attempt) in loaded.assignments.items():
         task = job.active.get(index)
         if task is not None and (task.machine.name, task.attempt) == (name, attempt):
@@ -67,49 +94,58 @@
             job.request_write(WritePriority.CLEANUP)
             continue
         _inherit_assignment(cluster, job, index, name, attempt, now)
+
+
+def _reject_unrecorded_proposals(cluster: ClusterState, job: Job, loaded: records.UnpackedRecord, now: float) -> None:
     for task in list(job.active.values()):
         if task.state is TaskState.PROPOSED and task.index not in loaded.assignments:
             cluster.transition_and_release(task, TaskEvent.REJECT, now)
-    if _apply_recorded_end(job, loaded) and job.state is JobState.CANCELLED:
-        job.cancelled_at = loaded.cancelled_at
-        if known:
-            job.known_open_at = (
-                cluster.records_current_at if job.known_open_before_write is None else job.known_open_before_write
-            )
-    job.known_open_before_write = None
-    if job.state is JobState.CANCELLED:
-        cluster.request_stop_of_all(job, now, "cancelled")
-    cluster.changed = True
-    return job
+
+
+def _note_cancellation(cluster: ClusterState, job: Job, loaded: records.UnpackedRecord, known: bool) -> None:
+    """Note when the job was cancelled; `known`: this leader had the job as open before."""
+    job.cancelled_at = loaded.cancelled_at
+    if not known:
+        return
+    if job.known_open_before_write is None:
+        job.known_open_at = cluster.records_current_at
+    else:
+        job.known_open_at = job.known_open_before_write
 
 
 def _assigned_by_other_leader(job: Job, loaded: records.UnpackedRecord) -> bool:
-    """Does the record name another place for a task that holds one here? Only another leader can have moved it."""
+    """Whether the record assigns a task elsewhere than this state does: only another leader can have moved it."""
     for index, place in loaded.assignments.items():
         task = job.active.get(index)
         if task is not None and task.state is not TaskState.PROPOSED and (task.machine.name, task.attempt) != place:
-            log.info("%s: the record names %s, not %s: another node leads", task.name, place[0], task.machine.name)
+            log.info(
+                "task %s: assigned by another leader, recorded_machine=%s machine=%s",
+                task.name,
+                place[0],
+                task.machine.name,
+            )
             return True
     return False
 
 
 def _take_version(job: Job, version: int, loaded: records.UnpackedRecord) -> None:
-    """The one place where a record's version is taken over, and with it all that a later write goes by."""
+    """Take over a record's version, and with it all that a later write is conditional on. Done nowhere else."""
     job.version = version
     job.committed_assignments = loaded.assignments
     job.committed_state = loaded.state
 
 
-def _apply_recorded_end(job: Job, loaded: records.UnpackedRecord) -> bool:
-    """A recorded end is the job's, whatever this leader has seen or decided meanwhile; was it news?"""
+def _apply_final_state(job: Job, loaded: records.UnpackedRecord) -> bool:
+    """Apply a final state that is recorded, whatever this leader has seen or decided; return whether it was new."""
     if not loaded.state.is_final or job.state.is_final:
         return False
-    job.move(_RECORDED_END[loaded.state])
+    job.move(_EVENT_OF_FINAL_STATE[loaded.state])
     return True
 
 
 def _inherit_assignment(cluster: ClusterState, job: Job, index: int, name: str, attempt: int, now: float) -> None:
-    """A place that a record names may be taken: it counts, and it is not started elsewhere (invariant 2)."""
+    """Take over an assignment of a record: the task may run there, so it counts for its team's limit and is not started
+    elsewhere (invariant 2)."""
     machine = cluster.machines.get(name)
     if machine is None:
         known_since = cluster.silent_since.get(name, now)
@@ -119,11 +155,14 @@
 
 
 def apply_commit(cluster: ClusterState, job: Job, version: int, record: records.JobRecord, now: float) -> None:
-    """A write of this job succeeded; its starts may now be sent (invariant 2)."""
+    """Apply that a write of this job's record succeeded: its starts may now be sent (invariant 2).
+
+    `version`: the revision of the write. Raises InvalidRecord.
+    """
     loaded = records.unpack(record)
-    if version > job.version:  # otherwise its user's cancellation has been heard of before the write's answer
+    if version > job.version:  # otherwise its user's cancellation has been received before the write's answer
         _take_version(job, version, loaded)
-        _apply_recorded_end(job, loaded)
+        _apply_final_state(job, loaded)
     for index, place in loaded.assignments.items():
         task = job.active.get(index)
         if task and task.state is TaskState.PROPOSED and (task.machine.name, task.attempt) == place:
