--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -77,7 +77,7 @@
             intent_log.add_record("wk-1", version, record(dict.fromkeys(held - {machine}, "0-1")), now)
             held.discard(machine)
         elif act == "proof":
-            intent_log.clear_machine("wk-1", machine, now, told=True)
+            intent_log.clear_machine("wk-1", machine, now, proven_by_peer=True)
             held.discard(machine)
         elif act == "gone":
             intent_log.machine_deleted(machine, now)
@@ -146,7 +146,7 @@
 def test_a_copy_and_an_older_word_change_nothing():
     intent_log = cancellations()
     cancellation = intent_log.add_record("wk-1", 5, record({"vm-000001": "0", "vm-000002": "1"}), 0.0)
-    intent_log.clear_machine("wk-1", "vm-000001", 1.0, told=True)
+    intent_log.clear_machine("wk-1", "vm-000001", 1.0, proven_by_peer=True)
     for version in (5, 4):
         assert intent_log.add_record("wk-1", version, record(dict.fromkeys(MACHINES, "0")), 2.0) is cancellation
         assert cancellation is not None and set(cancellation.stop_commands) == {"vm-000002"}
--- a/winglift/model/__init__.py
+++ b/winglift/model/__init__.py
@@ -1,1 +1,1 @@
-"""State machines and accounting of jobs, tasks, machines and leadership. Pure: no I/O."""
+"""The cluster state: state machines and accounting of jobs, tasks, machines and leadership. Does no I/O."""
--- a/winglift/model/boot_tracker.py
+++ b/winglift/model/boot_tracker.py
@@ -1,7 +1,8 @@
-"""Which machines are late in coming up, and where they stay dark: there, no room is soon to come.
+"""Detection of overdue boots and of capacity pools (machine type and zone) whose new machines fail to boot.
 
-Of one zone's new machines some came up long after the others, and some never. Each of them counted as ready within a
-second, for as long as it was not given back, and all that waited was promised to it.
+Guards against counting on capacity that does not come: of one zone's new machines some came up long after the others,
+and some never. Each of them counted as ready within a second until it was deleted, and all waiting tasks were planned
+onto it. All times are steady times in s.
 """
 
 from __future__ import annotations
@@ -20,62 +21,63 @@
 
 
 def usual_boot_s(machine: Machine) -> float:
-    """The longest that a boot usually takes."""
+    """The longest time in s that a boot of the machine's type usually takes."""
     return constants.BOOT_USUAL * (machine.type.boot_s if machine.type else constants.BOOT_DEFAULT_S)
 
 
 def boot_overdue(machine: Machine, now: float) -> bool:
-    """Has the machine been booting for longer than boots usually take?"""
+    """Whether the machine has been booting for longer than boots usually take."""
     return machine.state is MachineState.BOOTING and now - machine.rented_at > usual_boot_s(machine)
 
 
 @dataclass
 class BootTracker:
-    """Where new machines stay dark: from two overdue ones on, until one that was rented later comes up in time."""
+    """Tracks failing capacity pools: failing from two overdue machines on, until one rented later boots in time."""
 
-    failing_since: dict[CapacityPool, float] = field(default_factory=dict)  # since when
-    _up_in_time: dict[CapacityPool, float] = field(
-        default_factory=dict
-    )  # when the last machine that came up so was rented
+    failing_since: dict[CapacityPool, float] = field(default_factory=dict)
+    # rental time of the latest rented machine that booted in time
+    _latest_timely_rental: dict[CapacityPool, float] = field(default_factory=dict)
 
     def boot_completed(self, machine: Machine, now: float) -> bool:
-        """A machine reports for the first time. True when this shows that its place is dark no more."""
-        place = machine.type_name, machine.zone
+        """Take in a machine's first report. True if it shows that the machine's failing pool has recovered."""
+        pool = machine.type_name, machine.zone
         if now - machine.rented_at > usual_boot_s(machine):
             return False
-        self._up_in_time[place] = max(self._up_in_time.get(place, machine.rented_at), machine.rented_at)
-        since = self.failing_since.get(place)
+        self._latest_timely_rental[pool] = max(
+            self._latest_timely_rental.get(pool, machine.rented_at), machine.rented_at
+        )
+        since = self.failing_since.get(pool)
         if since is not None and machine.rented_at >= since:
-            del self.failing_since[place]
+            del self.failing_since[pool]
             return True
         return False
 
     def detect_failing_pools(self, machines: Iterable[Machine], now: float) -> set[CapacityPool]:
-        """The places that have turned dark since the last look."""
-        late: dict[CapacityPool, int] = {}
+        """Mark and return the pools that have been found failing since the last call."""
+        overdue: dict[CapacityPool, int] = {}
         for machine in machines:
             if boot_overdue(machine, now):
-                place = machine.type_name, machine.zone
-                # Rented no later than one that came up in time: it alone is at fault, not the place.
-                if machine.rented_at > self._up_in_time.get(place, -math.inf):
-                    late[place] = late.get(place, 0) + 1
-        found = {
-            place
-            for place, count in late.items()
-            if count >= constants.FAILING_POOL_MACHINES and place not in self.failing_since
+                pool = machine.type_name, machine.zone
+                # Rented no later than one that booted in time: the machine alone is at fault, not the pool.
+                if machine.rented_at > self._latest_timely_rental.get(pool, -math.inf):
+                    overdue[pool] = overdue.get(pool, 0) + 1
+        failing = {
+            pool
+            for pool, count in overdue.items()
+            if count >= constants.FAILING_POOL_MACHINES and pool not in self.failing_since
         }
-        for place in found:
-            self.failing_since[place] = now
-        return found
+        for pool in failing:
+            self.failing_since[pool] = now
+        return failing
 
     def all_pools_failing(self, types: Iterable[MachineType]) -> bool:
-        """Are all places dark? Then there is none better, and what is late is more likely to come than what is new."""
+        """Whether all pools fail: then none is better, and an overdue machine is likelier to boot than new ones."""
         return all((t.name, zone) in self.failing_since for t in types for zone in t.zones)
 
     def boot_timeout_s(self, machine: Machine, types: Iterable[MachineType]) -> float:
-        """How long after its rental a machine that does not come up is given back.
+        """The time in s after its rental at which a machine that has not booted is deleted.
 
-        Where all are late, nobody can tell the late from those that never come: half of them are waited for longer.
+        With all pools failing, late machines can't be told from those that never boot: half of them are kept longer.
         """
         boot = machine.type.boot_s if machine.type else constants.BOOT_DEFAULT_S
         longer = self.all_pools_failing(types) and crc32(machine.name.encode()) % 2
@@ -84,25 +86,28 @@
         )
 
     def is_expected(self, machine: Machine, types: Iterable[MachineType], now: float) -> bool:
-        """May work wait for this booting machine? Not for an overdue one, if another would be there sooner.
+        """Whether tasks may be planned onto this booting machine: not if overdue, where another would be ready sooner.
 
-        With all places dark, replacing every overdue machine filled the cloud's capacity with dark ones, and services
-        found no machine: 0.981 of their replica time in place of 0.9997.
+        With all pools failing, replacing every overdue machine filled the cloud's capacity with machines that did not
+        boot, and services found none: 0.981 of their replica time instead of 0.9997.
         """
         return not boot_overdue(machine, now) or self.all_pools_failing(types)
 
     def probe_allowance(
         self, types: Iterable[MachineType], machines: Iterable[Machine], asked: Iterable[CapacityPool], now: float
     ) -> dict[CapacityPool, int]:
-        """How many machines may be rented in each dark place now: one at a time shows whether it is better there."""
+        """How many machines may be rented in each failing pool now: a few probes show whether it has recovered.
+
+        `asked`: the pools of the rental requests that are under way.
+        """
         if not self.failing_since or self.all_pools_failing(types):
             return {}
-        left = {place: constants.FAILING_POOL_PROBES for place in self.failing_since}
-        for place in asked:
-            if place in left:
-                left[place] -= 1
+        remaining = {pool: constants.FAILING_POOL_PROBES for pool in self.failing_since}
+        for pool in asked:
+            if pool in remaining:
+                remaining[pool] -= 1
         for machine in machines:
-            place = machine.type_name, machine.zone
-            if place in left and machine.state is MachineState.BOOTING and not boot_overdue(machine, now):
-                left[place] -= 1
-        return {place: max(0, count) for place, count in left.items()}
+            pool = machine.type_name, machine.zone
+            if pool in remaining and machine.state is MachineState.BOOTING and not boot_overdue(machine, now):
+                remaining[pool] -= 1
+        return {pool: max(0, count) for pool, count in remaining.items()}
--- a/winglift/model/cancellations.py
+++ b/winglift/model/cancellations.py
@@ -1,7 +1,8 @@
-"""Cancellations that a node answers for until all their tasks are proven off (invariant 8: they hold whoever leads).
+"""Cancellations that a node enforces until all their tasks are proven off (invariant 8: whichever node leads).
 
-The record of a cancelled job names every place that can ever hold one of its tasks, since no later start can be
-committed (invariants 2, 4). So each node that knows the record can see to its end, leader or not. Pure: does no I/O.
+The record of a cancelled job names every machine that can ever hold one of its tasks, since no later start can be
+committed (invariants 2, 4). So each node that knows the record can enforce the cancellation, leader or not. Does no
+I/O. Times are steady times in s unless stated.
 """
 
 from __future__ import annotations
@@ -16,22 +17,20 @@
 
 
 class CancellationState(Enum):
-    """Who sees to a confirmed cancellation."""
+    """Who enforces a committed cancellation."""
 
-    OUTSTANDING = auto()  # nobody is known to see to it: this node does
-    DELEGATED = (
-        auto()
-    )  # a leader that can act has taken it over: it is left to that one, for as long as it is in hearing
+    OUTSTANDING = auto()  # this node: no other is known to enforce it
+    DELEGATED = auto()  # a leader that is able to act, for as long as it can be reached
     CONFIRMED = auto()  # all its tasks are proven off
 
 
 class CancellationEvent(Enum):
-    """What moves it."""
+    """The events of a cancellation's state machine."""
 
-    DELEGATE = auto()  # a leader that can act sees to it
-    DELEGATE_LOST = auto()  # nobody is in hearing any more who does
-    PROVEN_OFF = auto()  # all its machines are free of it, or gone
-    TASK_SEEN = auto()  # a machine shows a task of it
+    DELEGATE = auto()  # a leader that is able to act enforces it
+    DELEGATE_LOST = auto()  # no node that enforces it can be reached any more
+    PROVEN_OFF = auto()  # all its machines are proven free of its tasks, or deleted
+    TASK_SEEN = auto()  # a machine reports a task of it
 
 
 _S, _E = CancellationState, CancellationEvent
@@ -50,51 +49,61 @@
 
 @dataclass(slots=True, eq=False)
 class Cancellation:
-    """A confirmed cancellation, and the machines that may hold tasks of its job."""
+    """A committed cancellation, and the machines that may hold tasks of its job."""
 
     ref: str
     version: int
-    record: bytes  # as other nodes are told it
-    cancelled_at: float | None  # time of day by the node that committed it
-    noted_at: float  # steady time
-    stop_commands: dict[str, list[worker_messages.Command]]  # machine that may hold tasks: what it is told
+    record: bytes  # as sent to other nodes
+    cancelled_at: float | None  # time of day, by the node that committed it
+    noted_at: float  # when this node learned of it
+    stop_commands: dict[str, list[worker_messages.Command]]  # by machine that may hold tasks
     state_since: float  # when its state last changed
     state: CancellationState = CancellationState.OUTSTANDING
-    notified: dict[str, float] = field(default_factory=dict)  # node: when it is told again; infinite: it has it
-    delegated_to: tuple[str, int] | None = None  # the leader that has it in its picture: node and term
+    notified: dict[str, float] = field(default_factory=dict)  # node: when it is notified again; inf: it has the record
+    delegated_to: tuple[str, int] | None = None  # the leader that enforces it: node and term
 
     def move(self, event: CancellationEvent, now: float) -> CancellationState:
-        """The one place where an end changes its state. What does not apply changes nothing."""
+        """Apply an event; one that the state does not allow changes nothing. The state is changed nowhere else."""
         new = TRANSITIONS.get((self.state, event), self.state)
         if new is not self.state:
             self.state, self.state_since = new, now
         return new
 
     def min_age_s(self, now: float) -> float:
-        """At the least so many seconds ago it was committed: its time of day was read before that, and a transaction
-        may be carried out minutes after the time that it holds."""
+        """Lower bound in s of the time since the commit, counted from when this node learned of it.
+
+        The time of day in the record is no such bound: it was read before the commit, and a transaction may be carried
+        out minutes after the time that it holds.
+        """
         return now - self.noted_at
 
     def max_age_s(self, wall: float, skew_s: float) -> float:
-        """At the most so many seconds ago its user was told, as `Job.cancelled_for` counts it."""
+        """Upper bound in s of the time since its user was answered, as in `Job.seconds_since_cancelled`."""
         return seconds_since_cancelled(self.cancelled_at, wall, skew_s)
 
 
 class CancellationRegistry:
-    """`skew_s`: how far a time of day may be from the true one. `cancel_s`: the users' word. `most`: ends kept."""
+    """The cancellations that a node knows, by job.
+
+    `skew_s`: largest error of a node's time of day. `cancel_s`: time within which a cancelled job's tasks must be off
+    all machines (PROTOCOL, rule `ran_cancelled`). `most`: number of cancellations kept.
+    """
 
     def __init__(self, skew_s: float, cancel_s: float, most: int) -> None:
         self.skew_s = skew_s
         self.cancel_s = cancel_s
         self.capacity = most
-        # A start that the leader sent before it lost its lease, or learnt of the end, may come up to here: a halt or an
-        # answer without the task that is earlier proves nothing.
+        # A start that the leader sent before it lost its lease, or learned of the cancellation, may arrive up to this
+        # age: an earlier halt, or an earlier answer without the task, proves nothing.
         self.settle_s = min(constants.CANCELLATION_SETTLE_S, cancel_s * constants.CANCELLATION_SETTLE_SHARE)
         self.by_job: dict[str, Cancellation] = {}
-        self.unsent_proofs: list[tuple[str, str]] = []  # job and machine, found here: the other nodes are told
+        self.unsent_proofs: list[tuple[str, str]] = []  # job and machine, proven here: to be sent to the other nodes
 
     def add_record(self, ref: str, version: int, record: records.JobRecord, now: float) -> Cancellation | None:
-        """A record that is committed at this version; the end that is to be seen to, if there is one."""
+        """Add a record that is committed at `version`; return its cancellation if there is one to enforce.
+
+        None if the job is not cancelled, has no assignments, or the registry is full. Raises InvalidRecord.
+        """
         if record.state != JobState.CANCELLED.value:
             return None
         cancellation = self.by_job.get(ref)
@@ -108,7 +117,7 @@
                 ref, version, records.encode(record), record.cancelled_at, now, stop_commands, now
             )
             return cancellation
-        # The leader has taken places out of the record: it does that by proof only.
+        # The leader has removed assignments from the record: it does that by proof only.
         cancellation.version, cancellation.record = version, records.encode(record)
         for machine in [m for m in cancellation.stop_commands if m not in stop_commands]:
             del cancellation.stop_commands[machine]
@@ -116,7 +125,7 @@
         return cancellation
 
     def _make_space(self) -> bool:
-        """Is there room for one more? What is proven or left to a leader goes first; nothing is forgotten otherwise."""
+        """Make space for one more; return whether there is. Drops only confirmed, then delegated ones."""
         if len(self.by_job) < self.capacity:
             return True
         for state in (CancellationState.CONFIRMED, CancellationState.DELEGATED):
@@ -127,53 +136,57 @@
         return False
 
     def on_report(self, report: worker_messages.Report, now: float) -> list[worker_messages.Command]:
-        """The stops that any answer to this report carries, whoever gives it."""
-        found: list[worker_messages.Command] = []
-        if self.by_job:
-            for piece in report.tasks:
-                key = piece.key()
-                cancellation = self.by_job.get(key[0]) if key is not None else None
-                if cancellation is not None and piece.phase is not worker_messages.Phase.EXITED:
-                    found.append(worker_messages.halt(piece.task, piece.attempt, 0))
-                    if report.machine not in cancellation.stop_commands:
-                        # A start that was in flight: what had been proven is not.
-                        cancellation.stop_commands[report.machine] = []
-                        cancellation.move(CancellationEvent.TASK_SEEN, now)
-        return found
+        """The stops of cancelled tasks that any answer to this report carries, whichever node sends it."""
+        commands: list[worker_messages.Command] = []
+        if not self.by_job:
+            return commands
+        for task_report in report.tasks:
+            key = task_report.key()
+            cancellation = self.by_job.get(key[0]) if key is not None else None
+            if cancellation is None or task_report.phase is worker_messages.Phase.EXITED:
+                continue
+            commands.append(worker_messages.halt(task_report.task, task_report.attempt, 0))
+            if report.machine not in cancellation.stop_commands:
+                # A start that was in flight: the machine no longer counts as proven free.
+                cancellation.stop_commands[report.machine] = []
+                cancellation.move(CancellationEvent.TASK_SEEN, now)
+        return commands
 
     def on_probe_answer(
         self, report: worker_messages.Report, asked: float, now: float
     ) -> list[worker_messages.Command]:
-        """The machine has answered a question that this node sent at `asked`: what it does not list is off it, unless a
-        start could yet come then. What it still lists is to be stopped."""
-        left = self.on_report(report, now)
-        listed = {command.task.partition("/")[0] for command in left}
+        """Apply the answer to a probe that this node sent at `asked`; return the stops of what it still lists.
+
+        Tasks that it does not list are proven off the machine, unless a start could still have been in flight then.
+        """
+        commands = self.on_report(report, now)
+        listed_jobs = {command.task.partition("/")[0] for command in commands}
         for cancellation in self.on_machine(report.machine):
-            if cancellation.ref not in listed and cancellation.min_age_s(asked) >= self.settle_s:
+            if cancellation.ref not in listed_jobs and cancellation.min_age_s(asked) >= self.settle_s:
                 self.clear_machine(cancellation.ref, report.machine, now)
-        return left
+        return commands
 
     def on_machine(self, machine: str) -> list[Cancellation]:
         """The cancellations that may have tasks on this machine."""
         return [cancellation for cancellation in self.by_job.values() if machine in cancellation.stop_commands]
 
-    def clear_machine(self, ref: str, machine: str, now: float, told: bool = False) -> None:
-        """This machine is proven free of the job; `told`: another node has proven it."""
+    def clear_machine(self, ref: str, machine: str, now: float, proven_by_peer: bool = False) -> None:
+        """Apply that a machine is proven free of the job's tasks. `proven_by_peer`: another node has proven it."""
         cancellation = self.by_job.get(ref)
         if cancellation is not None and cancellation.stop_commands.pop(machine, None) is not None:
-            if not told:
+            if not proven_by_peer:
                 self.unsent_proofs.append((ref, machine))
             self._confirm_if_clear(cancellation, now)
 
-    def machine_deleted(self, machine: str, now: float, told: bool = False) -> None:
-        """Its deletion was answered: all that was on it is gone."""
-        if not told:
+    def machine_deleted(self, machine: str, now: float, proven_by_peer: bool = False) -> None:
+        """Apply that a machine's deletion was answered: all that was on it is gone."""
+        if not proven_by_peer:
             self.unsent_proofs.append(("", machine))
         for cancellation in self.on_machine(machine):
-            self.clear_machine(cancellation.ref, machine, now, told=True)
+            self.clear_machine(cancellation.ref, machine, now, proven_by_peer=True)
 
     def clear_job(self, ref: str, now: float) -> None:
-        """The leader of this node has proven all of it."""
+        """Apply that this node, as the leader, has proven all tasks of the job off their machines."""
         cancellation = self.by_job.get(ref)
         if cancellation is not None:
             for machine in list(cancellation.stop_commands):
@@ -184,17 +197,18 @@
             cancellation.move(CancellationEvent.PROVEN_OFF, now)
 
     def outstanding(self) -> list[Cancellation]:
-        """The cancellations that this node must see to."""
+        """The cancellations that this node must enforce."""
         return [
             cancellation for cancellation in self.by_job.values() if cancellation.state is CancellationState.OUTSTANDING
         ]
 
     def machines_to_delete(self, now: float, wall: float, rank: int, hear_s: float) -> list[str]:
-        """The machines to be deleted for an end that is left to nobody; the `rank`th node waits for those before it.
+        """The machines to delete for outstanding cancellations; the `rank`th node waits for those before it.
 
-        Who has just become answerable first asks the machines, for `hear_s`, unless the last moment is near that helps.
+        A node that has just become responsible first probes the machines, for `hear_s`, unless the last moment at which
+        a deletion is still in time is near. `wall`: time of day.
         """
-        names: dict[str, None] = {}
+        names: dict[str, None] = {}  # an ordered set
         after_s = self.cancel_s * (constants.CANCEL_DELETE_SHARE + rank * constants.CANCELLATION_RANK_SHARE)
         for cancellation in self.outstanding():
             age = cancellation.max_age_s(wall, self.skew_s)
@@ -204,7 +218,7 @@
         return list(names)
 
     def prune(self, now: float) -> None:
-        """Ended by proof, and so long ago that no start can turn up any more."""
+        """Drop confirmed cancellations that are so old that no start can arrive any more."""
         for ref in [
             ref
             for ref, cancellation in self.by_job.items()
@@ -214,13 +228,13 @@
 
 
 def stop_commands_for(ref: str, record: records.JobRecord) -> dict[str, list[worker_messages.Command]]:
-    """Machine: the stops of all tasks that the record places there."""
-    found: dict[str, list[worker_messages.Command]] = {}
+    """By machine, the stops of all tasks that the record assigns to it. Raises InvalidRecord."""
+    stop_commands: dict[str, list[worker_messages.Command]] = {}
     try:
         for machine, attempt, text in record.assignments:
-            found.setdefault(machine, []).extend(
-                worker_messages.halt(f"{ref}/{n}", attempt, 0) for n in records.unpack_ranges(text)
+            stop_commands.setdefault(machine, []).extend(
+                worker_messages.halt(f"{ref}/{number}", attempt, 0) for number in records.unpack_ranges(text)
             )
     except ValueError as err:
         raise records.InvalidRecord(str(err)) from None
-    return found
+    return stop_commands
--- a/winglift/model/cluster_state.py
+++ b/winglift/model/cluster_state.py
@@ -1,6 +1,7 @@
-"""The leader's picture: jobs, machines and who holds what; what is placed and stopped there. Does no I/O.
+"""The leader's cluster state: jobs, machines and assignments, and the decisions that change them. Does no I/O.
 
-`recorded` feeds it from job records, `reported` from workers' reports.
+`record_application` updates it from job records, `report_reconciliation` from workers' reports. Times are steady times
+in s.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class ClusterState:
-    """The cluster state of one term. Everything that changes who holds what passes here."""
+    """The cluster state of one term. Every change of an assignment is made here."""
 
     def __init__(self, settings: Settings, types: dict[str, MachineType], term: int) -> None:
         self.settings = settings
@@ -34,37 +35,38 @@
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
         self.deleted_machines: dict[str, float] = {}
-        self.finished_versions: OrderedDict[str, int] = (
-            OrderedDict()
-        )  # jobs that hold nothing any more: the record's last version
+        # last record version of ended jobs that have no assignments any more
+        self.finished_versions: OrderedDict[str, int] = OrderedDict()
         self.quota = QuotaUsage({t.name: t for t in settings.settings.teams})
-        self.runtime_ratio: dict[str, float] = {}  # job class: real run time by the estimate
-        self.inherited_images: dict[str, dict[str, float]] = {}  # what the leader before knew of machines
-        self.silent_since: dict[str, float] = {}  # the same: when machines were last heard that had fallen silent
+        self.runtime_ratio: dict[str, float] = {}  # job class: run time as a ratio of the estimate
+        self.inherited_images: dict[
+            str, dict[str, float]
+        ] = {}  # image caches by machine, as the leader before recorded them
+        self.silent_since: dict[str, float] = {}  # time of the latest report of machines silent at the failover
         self.boot_tracker = BootTracker()
-        self.records_current_at = -math.inf  # steady time: what others committed before it is known here
+        self.records_current_at = -math.inf  # changes that other nodes committed before this time are known here
         self.changed = True
-        self.superseded = False  # a record shows that another leader has decided
+        self.superseded = False  # a record shows decisions of another leader
         self.on_stop: Callable[[Task], None] = lambda task: None
-        self.on_urgent: Callable[[], None] = lambda: None  # work due at once has come, or a replica was lost
-        self.on_ending: Callable[[], None] = lambda: None  # all tasks of a job are done: its user waits for the record
+        self.on_urgent: Callable[[], None] = lambda: None  # an urgent job was added, or a replica lost
+        self.on_ending: Callable[[], None] = lambda: None  # all tasks of a job are done, which is to be recorded soon
 
-    # -- who holds what ------------------------------------------------------------------------
+    # -- assignments ---------------------------------------------------------------------------
 
     def assign(self, task: Task) -> None:
-        """A task takes a place, and counts for its team from now on."""
+        """Assign a task to its machine; it counts for its team's quota from now on."""
         task.job.active[task.index] = task
         task.machine.tasks[task.job.ref, task.index] = task
         task.machine.invalidate_usage()
         self.quota.add(task.job.spec)
 
     def transition_and_release(self, task: Task, event: TaskEvent, now: float) -> None:
-        """The task is proven off its machine, or never got there."""
+        """Apply an event that ends an assignment: the task is proven off its machine, or was never sent there."""
         task.move(event, now)
         self.release(task, now)
 
     def release(self, task: Task, now: float) -> None:
-        """A task leaves its place."""
+        """Release a task's assignment and quota."""
         job = task.job
         if job.active.get(task.index) is task:
             del job.active[task.index]
@@ -83,7 +85,7 @@
         self.changed = True
 
     def forget_job(self, job: Job) -> None:
-        """An ended job of which nothing is left. A late word of an older record must not bring its places back."""
+        """Remove an ended job without assignments. A delayed older record must not bring its assignments back."""
         self.jobs.pop(job.ref, None)
         self.finished_versions[job.ref] = job.version
         while len(self.finished_versions) > constants.FINAL_STATES_CACHED:
@@ -92,7 +94,10 @@
     # -- decisions -----------------------------------------------------------------------------
 
     def placement_violation(self, job: Job, machine: Machine, extra: dict[str, int] | None = None) -> str | None:
-        """Why a task of this job may not be placed there, or None. Every placement passes here (invariant 5)."""
+        """The reason why a task of this job may not be placed there, or None. Checks every placement (invariant 5).
+
+        `extra`: further tasks of the job per zone that are planned along with this one.
+        """
         spec = job.spec
         if not job.is_open:
             return "job has ended"
@@ -116,44 +121,51 @@
             return "team limit"
         return None
 
-    def propose_placement(self, job: Job, places: Iterable[tuple[int, Machine]], now: float) -> bool:
-        """Take places for one start of tasks of a job. All or, for a gang, none."""
+    def propose_placement(self, job: Job, placements: Iterable[tuple[int, Machine]], now: float) -> bool:
+        """Propose assignments of a job's tasks for one attempt, for a gang all or none; return whether any was made."""
         attempt = job.next_attempt
-        made: list[Task] = []
-        for index, machine in places:
-            why = (
-                "holds a place" if index in job.active or index in job.done else self.placement_violation(job, machine)
-            )
-            if why is not None:
-                log.warning("%s/%d: not placed on %s: %s", job.ref, index, machine.name, why)
+        proposed: list[Task] = []
+        for index, machine in placements:
+            if index in job.active or index in job.done:
+                reason: str | None = "already assigned or done"
+            else:
+                reason = self.placement_violation(job, machine)
+            if reason is not None:
+                log.warning("task %s/%d: not placed, machine=%s reason=%s", job.ref, index, machine.name, reason)
                 if job.kind is Kind.GANG:
-                    for task in made:
+                    for task in proposed:
                         self.transition_and_release(task, TaskEvent.REJECT, now)
                     return False
                 continue
             task = Task(job, index, attempt, machine, TaskState.PROPOSED, now)
             self.assign(task)
             machine.idle_since = None
-            made.append(task)
-        if not made:
+            proposed.append(task)
+        if not proposed:
             return False
         job.next_attempt = attempt + 1
         job.request_write(WritePriority.START)
         return True
 
     def request_stop(self, task: Task, grace_s: float, now: float, reason: str) -> None:
-        """Ask for a task to be stopped. A task that was never sent is simply let go."""
+        """Request a task's stop with `grace_s` seconds for a checkpoint. One that was never sent is released."""
         if task.state is TaskState.COMMITTED and task.job.kind is not Kind.GANG:
             self.transition_and_release(task, TaskEvent.MACHINE_GONE, now)
             return
         if task.stop_grace_s is None or grace_s < task.stop_grace_s:
             task.mark_stopping(grace_s)
-            log.debug("stop %s on %s: %s, grace %.1f s", task.name, task.machine.name, reason, grace_s)
+            log.debug(
+                "task %s: stop requested, machine=%s reason=%s grace_s=%.1f",
+                task.name,
+                task.machine.name,
+                reason,
+                grace_s,
+            )
             self.on_stop(task)
             self.changed = True
 
     def request_stop_of_all(self, job: Job, now: float, reason: str, grace_s: float = 0.0) -> None:
-        """Ask for all tasks of a job to be stopped."""
+        """Request that all tasks of a job be stopped."""
         for task in list(job.active.values()):
             if task.state is TaskState.COMMITTED:
                 self.transition_and_release(task, TaskEvent.MACHINE_GONE, now)
@@ -161,9 +173,9 @@
                 self.request_stop(task, grace_s, now, reason)
 
     def break_gang(self, job: Job, now: float, reason: str) -> None:
-        """A gang that lost a member starts again only when all its members are proven off."""
+        """Stop all members of a gang that lost one. It is restarted only when all of them are proven off."""
         if not job.gang_broken and job.active:
-            log.debug("gang %s is broken: %s", job.ref, reason)
+            log.debug("gang %s: broken, reason=%s", job.ref, reason)
             job.gang_broken = True
             self.request_stop_of_all(job, now, reason)
 
@@ -172,16 +184,19 @@
     def register_machine(
         self, name: str, type_name: str, zone: str, spot: bool, now: float, age_s: float | None
     ) -> Machine:
-        """A machine that a report or the list shows; strangers are used or returned."""
+        """The machine that a report or the cloud's list names, added if unknown: it is used or returned.
+
+        `age_s`: the time since its rental, if known.
+        """
         machine = self.machines.get(name)
-        rented = now - (age_s if age_s is not None else 0.0)
+        rented_at = now - (age_s if age_s is not None else 0.0)
         if machine is None:
             machine = Machine(
-                name, None, type_name, zone, spot, MachineState.INHERITED, self.silent_since.get(name, now), rented
+                name, None, type_name, zone, spot, MachineState.INHERITED, self.silent_since.get(name, now), rented_at
             )
             self.machines[name] = machine
         if not machine.type_name:
-            machine.type_name, machine.zone, machine.spot, machine.rented_at = type_name, zone, spot, rented
+            machine.type_name, machine.zone, machine.spot, machine.rented_at = type_name, zone, spot, rented_at
         if machine.type is None:
             machine.type = self.types.get(type_name)
         for image, gb in self.inherited_images.pop(name, {}).items():
@@ -191,13 +206,13 @@
     # -- machines ------------------------------------------------------------------------------
 
     def remove_machine(self, machine: Machine, now: float) -> None:
-        """A deletion was answered: the machine and all that was on it are gone."""
+        """Remove a machine whose deletion was answered: it and all that was on it are gone."""
         machine.move(MachineEvent.DELETED)
         self.deleted_machines[machine.name] = now
         for task in list(machine.tasks.values()):
             job = task.job
             if task.state is TaskState.GONE:
-                continue  # taken back when its gang broke over another member on this machine
+                continue  # released when its gang broke over another member on this machine
             self.transition_and_release(task, TaskEvent.MACHINE_GONE, now)
             if job.kind is Kind.GANG:
                 self.break_gang(job, now, f"{machine.name} is gone")
@@ -205,12 +220,12 @@
         self.changed = True
 
     def estimate_s(self, job: Job) -> float:
-        """A task's run time in s: the owner's estimate, corrected by what its class has shown."""
+        """A task's expected run time in s: the owner's estimate, corrected by the ratio that its class has shown."""
         return job.spec.estimate_s * self.runtime_ratio.get(job.spec.job_class, 1.0)
 
 
 def zone_counts(job: Job) -> dict[str, int]:
-    """Tasks per zone that are there or may be. An unknown machine's zone is ''."""
+    """Assigned tasks of a job per zone. An unknown machine's zone is ''."""
     zones: dict[str, int] = {}
     for task in job.active.values():
         zones[task.machine.zone] = zones.get(task.machine.zone, 0) + 1
--- a/winglift/model/entities.py
+++ b/winglift/model/entities.py
@@ -1,6 +1,6 @@
-"""Jobs, tasks and machines as the leader sees them: each knows the others that it has to do with.
+"""Jobs, tasks and machines of the cluster state, with references to one another.
 
-Their states and the ways between them stand in `job`, `task` and `machine`.
+Their state machines are in `job_state`, `task_state` and `machine_state`. Times are steady times in s unless stated.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A job as the leader sees it: its record, and what has been decided since."""
+    """A job: its committed record, and what this leader has decided since."""
 
     ref: str
     spec: Submission
@@ -33,23 +33,27 @@
     done: CompletedTasks = field(default_factory=lambda: CompletedTasks(0))
     next_attempt: int = 1
     active: dict[int, Task] = field(default_factory=dict)
-    # what the committed record says: assignments by task number, and whether a task is done
+    # of the committed record: machine and attempt by task number, and the state
     committed_assignments: dict[int, tuple[str, int]] = field(default_factory=dict)
     committed_state: JobState = JobState.OPEN
     pending_write: WritePriority = WritePriority.NONE
     write_in_flight: bool = False
-    deferred_change: tuple[int, bytes] | None = None  # a change by others, seen while a write is under way
-    retry_not_before: float = 0.0
+    deferred_change: tuple[int, bytes] | None = (
+        None  # version and value of a change by another node, received while a write is under way
+    )
+    retry_not_before: float = 0.0  # backoff after failures
     failed_rounds: int = 0  # rounds of failed starts
     failed_on: dict[str, None] = field(default_factory=dict)  # machines where a task failed, the latest last
-    has_completed_task: bool = False  # a task of it has completed
+    has_completed_task: bool = False
     cancelled_at: float | None = None  # time of day, from the node that committed the cancellation
     known_open_at: float = -math.inf  # steady time at which the job was surely not cancelled yet
-    known_open_before_write: float | None = None  # the same, noted when a change by others was put off for a write
+    known_open_before_write: float | None = (
+        None  # the same, noted when a change by another node was deferred for a write
+    )
     gang_started: bool = False  # the present attempt has been seen running
     gang_broken: bool = False
-    unplaced_since: float = math.inf  # since when tasks of it have been waiting without a break
-    queued_since: float = 0.0  # when it was first seen, or its last attempt ended
+    unplaced_since: float = math.inf  # since when it has had waiting tasks without interruption
+    queued_since: float = 0.0  # when it was first known, or when its last attempt ended
 
     @property
     def kind(self) -> Kind:
@@ -58,11 +62,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Has it neither ended nor all its tasks done?"""
+        """Whether it has neither ended nor completed all its tasks."""
         return self.state is JobState.OPEN
 
     def move(self, event: JobEvent) -> JobState:
-        """The one place where a job changes its state."""
+        """Apply an event; the state is changed nowhere else. Raises KeyError for one that the state does not allow."""
         self.state = JOB_TRANSITIONS[self.state, event]
         return self.state
 
@@ -71,7 +75,7 @@
         self.pending_write = min(self.pending_write, priority) if self.pending_write else priority
 
     def waiting_tasks(self, most: int) -> list[int]:
-        """Numbers of tasks that neither are done nor hold a place, lowest first."""
+        """Numbers of up to `most` tasks that are neither done nor assigned, lowest first."""
         found: list[int] = []
         if not self.is_open:
             return found
@@ -85,21 +89,21 @@
 
     @property
     def has_waiting_tasks(self) -> bool:
-        """Are there tasks that neither are done nor hold a place?"""
+        """Whether there are tasks that are neither done nor assigned."""
         return self.is_open and len(self.active) + len(self.done) < self.spec.tasks
 
     def seconds_since_cancelled(self, now: float, wall: float, skew_s: float) -> float:
-        """At the most so many seconds ago its user was told that the job is cancelled; inf: nobody can tell.
+        """Upper bound in s of the time since its user was answered that the job is cancelled; inf if not known.
 
-        A successor knows it from the record, by the time of day: each of several leaders once counted from its own
-        start, and the last one deleted the machines 12 s too late. Whoever has seen the job open since knows better: a
-        transaction may be applied minutes after the time that it holds.
+        A successor knows it from the record, by the time of day (`wall`): each of several leaders once counted from its
+        own start, and the last one deleted the machines 12 s too late. A leader that has read the job as open since has
+        a better bound: a transaction may be applied minutes after the time that it holds.
         """
         return min(seconds_since_cancelled(self.cancelled_at, wall, skew_s), now - self.known_open_at)
 
     @property
     def grace_s(self) -> float:
-        """Seconds that its tasks are given to save when they are stopped in order; 0: they save nothing."""
+        """Seconds that its tasks are given for a checkpoint when they are stopped; 0: they write none."""
         return self.spec.save_s + constants.STOP_GRACE_MARGIN_S if self.spec.checkpoint_s > 0 else 0.0
 
     def unfinished_count(self) -> int:
@@ -109,7 +113,7 @@
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """One start of one task: an attempt on a machine."""
+    """One attempt of one task on a machine."""
 
     job: Job
     index: int
@@ -120,16 +124,16 @@
     sent_session: int = 0
     sent_seq: int = 0
     running_since: float | None = None
-    stop_grace_s: float | None = None  # set once the task is told to stop
-    stop_sent_at: float = 0.0  # when it was last told so directly
+    stop_grace_s: float | None = None  # set once the task is to be stopped
+    stop_sent_at: float = 0.0  # when a stop was last sent by a direct command
 
     @property
     def name(self) -> str:
-        """As workers name it: job and number."""
+        """The task's name in the protocol: job and number."""
         return f"{self.job.ref}/{self.index}"
 
     def move(self, event: TaskEvent, now: float) -> TaskState:
-        """The one place where a task changes its state."""
+        """Apply an event; the state is changed nowhere else. Raises InvalidTransition."""
         new = next_state(self.state, event)
         if new is not self.state:
             self.state = new
@@ -142,23 +146,23 @@
         return new
 
     def mark_stopping(self, grace_s: float) -> None:
-        """The one place where a task is marked to be stopped."""
+        """Mark the task as to be stopped, with `grace_s` seconds for a checkpoint. Done nowhere else."""
         self.stop_grace_s = grace_s
         self.machine.invalidate_usage()
 
     @property
     def stopping(self) -> bool:
-        """Has it been told to stop?"""
+        """Whether the task is to be stopped."""
         return self.stop_grace_s is not None
 
     @property
     def is_running_replica(self) -> bool:
-        """A running part of a service, which could be started elsewhere."""
+        """Whether it is a running replica of a service that is not being stopped."""
         return not self.stopping and self.job.kind is Kind.SERVICE and self.state is TaskState.RUNNING
 
     @property
     def preemptible(self) -> bool:
-        """Could it be stopped to make room?"""
+        """Whether it may be stopped to free capacity for other tasks."""
         return (
             not self.stopping
             and self.state in PRESENT
@@ -169,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineUsage:
-    """What a machine's tasks take of it, and what of it might be free soon."""
+    """Resources that a machine's tasks use, and those that are being or could be released."""
 
     cpus: float
     gpus: float
@@ -178,13 +182,15 @@
     releasing_gpus: float
     releasing_memory_gb: float
     stopping_by_team: dict[str, tuple[float, float]]  # team: CPUs and GPUs of tasks being stopped
-    replicas: int  # running parts of services
-    preemptible_tasks: int  # tasks that could be stopped to make room
-    preemptible_by_rank: tuple[Resources, Resources, Resources]  # what they take: of rank 0, up to rank 1, up to rank 2
-    pinned_tasks: int  # the others
-    images: frozenset[str]  # that it holds or fetches
-    cached_images: frozenset[str]  # that it holds
-    pending_fetches: int  # images that it fetches, or will once the starts arrive
+    replicas: int  # running replicas of services
+    preemptible_tasks: int  # tasks that may be stopped to free capacity
+    preemptible_by_rank: tuple[
+        Resources, Resources, Resources
+    ]  # their resources: of rank 0, up to rank 1, up to rank 2
+    pinned_tasks: int  # tasks that may not be stopped, replicas aside
+    images: frozenset[str]  # cached, or needed by a task
+    cached_images: frozenset[str]  # cached
+    pending_fetches: int  # images that it fetches, or will fetch once the starts arrive
 
 
 class _TasksByDisposition:
@@ -234,7 +240,7 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A rented machine as the leader sees it."""
+    """A rented machine."""
 
     name: str
     type: MachineType | None
@@ -243,19 +249,19 @@
     spot: bool
     state: MachineState
     known_since: float
-    rented_at: float  # steady time of the rental, as well as it is known
+    rented_at: float  # time of the rental, as well as it is known
     addr: str = ""
     session: int = 0
     seq: int = -1
-    last_heard: float | None = None
-    unacknowledged_reports: int = 0  # reports in a row that did not show the starts of an answer before them
+    last_heard: float | None = None  # time of its latest report
+    unacknowledged_reports: int = 0  # consecutive reports that did not show the starts sent before them
     unresponsive_since: float = 0.0
-    duplicate_name_logged: bool = False  # another one reports under its name: that was told
-    probed_at: float = -math.inf  # when a question was last sent to it
-    probe_failed_at: float = -math.inf  # when a question was sent to it that it did not answer
-    reclaim_at: float | None = None  # when a notice runs out
+    duplicate_name_logged: bool = False  # that another machine reports under its name has been logged
+    probed_at: float = -math.inf  # when a probe was last sent to it
+    probe_failed_at: float = -math.inf  # when a probe was sent that it did not answer
+    reclaim_at: float | None = None  # when its spot reclaim notice expires
     tasks: dict[tuple[str, int], Task] = field(default_factory=dict)
-    unknown_tasks: dict[tuple[str, int], int] = field(default_factory=dict)  # on it, in no record: attempt
+    unknown_tasks: dict[tuple[str, int], int] = field(default_factory=dict)  # tasks on it that no record names: attempt
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)
     attributed_failures: dict[Job, int] = field(default_factory=dict)  # failed tasks since one completed there, per job
     idle_since: float | None = None
@@ -263,11 +269,11 @@
     _usage: MachineUsage | None = None
 
     def invalidate_usage(self) -> None:
-        """Its tasks or images have changed. Called by each function that changes a state, and by nothing else."""
+        """Drop the cached usage. Called by each function that changes its tasks or images, and by nothing else."""
         self._usage = None
 
     def usage(self) -> MachineUsage:
-        """Added up anew only after a change: most machines stay as they are from one cycle to the next."""
+        """The resources in use, cached until a change: most machines don't change from one cycle to the next."""
         if self._usage is None:
             self._usage = self._compute_usage()
         return self._usage
@@ -304,7 +310,7 @@
         )
 
     def move(self, event: MachineEvent) -> MachineState:
-        """The one place where a machine changes its state."""
+        """Apply an event; one that the state does not allow changes nothing. The state is changed nowhere else."""
         new = MACHINE_TRANSITIONS.get((self.state, event))
         if new is not None:
             if new is not self.state:
@@ -314,15 +320,15 @@
 
     @property
     def accepts_tasks(self) -> bool:
-        """May work be placed there?"""
+        """Whether tasks may be placed on it."""
         return self.state is MachineState.UP
 
     def remember_image(self, image: str, gb: float) -> None:
-        """Workers cache the most recently used images; this follows what they must hold."""
+        """Track the worker's image cache, which keeps the most recently used images; `gb`: the image's size."""
         self.images[image] = gb
         self.images.move_to_end(image)
-        room = self.type.cache_gb if self.type else 0.0
-        total = sum(self.images.values())
-        while len(self.images) > 1 and total > room:
-            total -= self.images.popitem(last=False)[1]
+        cache_gb = self.type.cache_gb if self.type else 0.0
+        total_gb = sum(self.images.values())
+        while len(self.images) > 1 and total_gb > cache_gb:
+            total_gb -= self.images.popitem(last=False)[1]
         self.invalidate_usage()
--- a/winglift/model/failure_attribution.py
+++ b/winglift/model/failure_attribution.py
@@ -1,8 +1,8 @@
-"""Is the machine faulty, or was the job submitted with a mistake? Told apart by where else either of them succeeds.
+"""Attribution of failed tasks to a faulty machine or to a faulty job, by where else either of them succeeds.
 
-Eight tasks of one mistaken array failed on one machine at once, and the machine was emptied of its replicas and given
-back: so a job counts against a machine once only, unless it is proven sound elsewhere, and not at all once it has
-failed on several machines.
+Eight tasks of one faulty array failed on one machine at once, and the machine was drained of its replicas and deleted:
+so a job counts against a machine once only, unless it has run elsewhere, and not at all once it has failed on several
+machines. All times are steady times in s.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def job_is_sound(job: Job, now: float) -> bool:
-    """Has the job shown that it can run: by a task that completed, or by one that has run for long?"""
+    """Whether the job has shown that it can run: by a task that completed, or by one that has run for long."""
     return job.has_completed_task or any(
         t.state is TaskState.RUNNING and t.running_since is not None and now - t.running_since >= constants.SOUND_RUN_S
         for t in job.active.values()
@@ -21,23 +21,23 @@
 
 
 def job_is_suspect(job: Job, now: float) -> bool:
-    """Does it look like a job with a mistake? It is then tried rarely, a task at a time, at nobody's cost."""
+    """Whether the job is probably faulty: it is retried rarely, a task at a time, and nothing is stopped for it."""
     return len(job.failed_on) >= constants.SUSPECT_JOB_MACHINES and not job_is_sound(job, now)
 
 
 def machine_is_faulty(machine: Machine, now: float) -> bool:
-    """Have enough tasks failed there that can't be blamed on their jobs?"""
-    doubts = 0
+    """Whether enough tasks failed on the machine whose failures are not attributed to their jobs."""
+    attributed = 0
     for job, failures in machine.attributed_failures.items():
         if job_is_sound(job, now):
-            doubts += failures
+            attributed += failures
         elif len(job.failed_on) < constants.SUSPECT_JOB_MACHINES:
-            doubts += 1
-    return doubts >= constants.FAULTY_MACHINE_FAILURES
+            attributed += 1
+    return attributed >= constants.FAULTY_MACHINE_FAILURES
 
 
 def record_failure(job: Job, machine: Machine) -> None:
-    """A task of the job ended with an error there."""
+    """Count a task of the job that exited with an error on the machine."""
     job.failed_on[machine.name] = None
     while len(job.failed_on) > constants.AVOIDED_MACHINES_MAX:
         del job.failed_on[next(iter(job.failed_on))]
@@ -45,22 +45,22 @@
 
 
 def exonerate_jobs_on(machine: Machine, now: float) -> None:
-    """What failed there says nothing about its jobs any more."""
+    """Drop the failures on a faulty machine from its jobs; a job no longer suspect may be retried at once."""
     for job in machine.attributed_failures:
-        was = job_is_suspect(job, now)
+        was_suspect = job_is_suspect(job, now)
         job.failed_on.pop(machine.name, None)
-        if was and not job_is_suspect(job, now):
+        if was_suspect and not job_is_suspect(job, now):
             job.retry_not_before = min(job.retry_not_before, now)
 
 
 def record_completion(job: Job, machine: Machine) -> None:
-    """A task of the job is done there: both are sound."""
+    """Count a task of the job that completed on the machine: both are sound."""
     job.has_completed_task = True
     job.failed_rounds = 0
     machine.attributed_failures.clear()
 
 
 def retry_delay_s(job: Job, now: float) -> float:
-    """How long the job waits after its latest round of failures."""
-    most = constants.BACKOFF_SUSPECT_S if job_is_suspect(job, now) else constants.BACKOFF_MAX_S
-    return min(most, constants.BACKOFF_FIRST_S * 2 ** min(job.failed_rounds, 10))
+    """The backoff in s after the job's latest round of failures."""
+    longest_s = constants.BACKOFF_SUSPECT_S if job_is_suspect(job, now) else constants.BACKOFF_MAX_S
+    return min(longest_s, constants.BACKOFF_FIRST_S * 2 ** min(job.failed_rounds, 10))
--- a/winglift/model/image_cache_record.py
+++ b/winglift/model/image_cache_record.py
@@ -1,4 +1,4 @@
-"""Which machine holds which image, packed into a few values that fit the state service.
+"""The machines' image caches as records of the state service, a few values within its size limit.
 
 Workers don't report their images: the leader follows their caches, and all of it was lost when all nodes ended at once.
 """
@@ -17,7 +17,7 @@
 
 
 class ImageCacheRecord(msgspec.Struct, frozen=True, rename={"names": "n", "sizes": "g", "cached": "m"}):
-    """`names` and `sizes` (GB) of images; per machine what it holds, by place there, the latest used last."""
+    """`names` and `sizes` (GB) of images; `cached`: each machine's images as indexes, least recently used first."""
 
     names: list[str]
     sizes: list[float]
@@ -28,16 +28,16 @@
 
 
 def record_number(machine: str) -> int:
-    """The page a machine is on: the same for every leader, so that a page has one key."""
+    """The number of the record that holds a machine: the same for every leader, so that a record has one key."""
     return crc32(machine.encode()) % constants.IMAGE_CACHE_RECORDS
 
 
 def pack(images: Mapping[str, Mapping[str, float]], most_bytes: int) -> dict[str, bytes]:
-    """Key and value of every page. What does not fit into a value is left out: the least recently used images first."""
+    """Key and value of every record, of at most `most_bytes` each; the least recently used images are left out."""
     records: dict[int, dict[str, list[tuple[str, float]]]] = defaultdict(dict)
     for machine in sorted(images):
         records[record_number(machine)][machine] = list(images[machine].items())
-    found = {}
+    values = {}
     for number, held in records.items():
         value = _encode(held)
         while len(value) > most_bytes and any(held.values()):
@@ -45,21 +45,21 @@
             held = {machine: own[1:] if len(own) == longest else own for machine, own in held.items()}
             value = _encode(held)
         if len(value) <= most_bytes:
-            found[f"{PREFIX}{number}"] = value
-    return found
+            values[f"{PREFIX}{number}"] = value
+    return values
 
 
 def _encode(held: Mapping[str, list[tuple[str, float]]]) -> bytes:
     sizes: dict[str, float] = {}
     for own in held.values():
         sizes.update(own)
-    place = {name: number for number, name in enumerate(sizes)}
-    places = {machine: [place[name] for name, _ in own] for machine, own in held.items() if own}
-    return msgspec.json.encode(ImageCacheRecord(list(sizes), [round(size, 3) for size in sizes.values()], places))
+    index_of = {name: number for number, name in enumerate(sizes)}
+    cached = {machine: [index_of[name] for name, _ in own] for machine, own in held.items() if own}
+    return msgspec.json.encode(ImageCacheRecord(list(sizes), [round(size, 3) for size in sizes.values()], cached))
 
 
 def unpack(values: Iterable[bytes | msgspec.Raw]) -> dict[str, dict[str, float]]:
-    """What the pages say. One that this program did not write says nothing: it is knowledge, not a promise."""
+    """Machine: its images and their sizes in GB. Values that can't be decoded are skipped: caches are only a hint."""
     images: dict[str, dict[str, float]] = {}
     for value in values:
         try:
--- a/winglift/model/job_state.py
+++ b/winglift/model/job_state.py
@@ -1,4 +1,4 @@
-"""A job's states, and which of its tasks are done."""
+"""The state machine of a job, and the set of its completed tasks."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
     """A job's states; a record holds the value."""
 
     OPEN = "o"
-    ENDING = "all done, in no record yet"  # as this leader has seen; a cancellation that is recorded first still wins
+    ENDING = "all done, in no record yet"  # seen by this leader only; a cancellation that is recorded first still wins
     DONE = "d"
     CANCELLED = "c"
 
     @property
     def is_final(self) -> bool:
-        """Ended by its record, for good and for every writer (invariant 4)."""
+        """Whether the state is final: recorded, and never replaced by any writer (invariant 4)."""
         return self in (JobState.DONE, JobState.CANCELLED)
 
 
 class JobEvent(Enum):
-    """What moves a job."""
+    """The events of a job's state machine."""
 
     COMPLETE = "all tasks have completed"
     RECORD_DONE = "its record says done"
@@ -31,7 +31,7 @@
 
 
 # Only a record ends a job: a leader once called it done in memory, its user cancelled it, and "done" was written over
-# the end that the user had been told. A recorded end has no way out.
+# the final state that the user had been answered. No transition leaves a recorded final state.
 JOB_TRANSITIONS = {
     (JobState.OPEN, JobEvent.COMPLETE): JobState.ENDING,
     (JobState.OPEN, JobEvent.RECORD_DONE): JobState.DONE,
@@ -42,16 +42,16 @@
 
 
 def seconds_since_cancelled(cancelled: float | None, wall: float, skew_s: float) -> float:
-    """At the most so many seconds ago a user was told that a job is cancelled, by the time of day in its record.
+    """Upper bound in s of the time since a user was answered that a job is cancelled, by the time of day in its record.
 
-    The time was read before the commit, the user is told after it, and two nodes' clocks are at most twice `skew_s`
-    apart. A record without it, by a version that did not write it, counts as cancelled long ago.
+    The time was read before the commit, the user is answered after it, and two nodes' clocks are at most twice `skew_s`
+    apart. A record without it, by a version that did not write it, counts as cancelled long ago. `wall`: time of day.
     """
     return wall - cancelled + 2 * skew_s if cancelled is not None else math.inf
 
 
 class CompletedTasks:
-    """Which tasks are done: all below `low`, and a set above it within the window."""
+    """The completed tasks of a job: all below `first_open`, and the set `above` within the record's window."""
 
     __slots__ = ("above", "count", "first_open")
 
@@ -67,7 +67,7 @@
         return self.first_open + len(self.above)
 
     def add(self, index: int) -> None:
-        """The task is done."""
+        """Mark a task as done."""
         if index in self:
             return
         self.above.add(index)
@@ -76,9 +76,9 @@
             self.first_open += 1
 
     def complete(self) -> bool:
-        """Are all tasks done?"""
+        """Whether all tasks are done."""
         return self.first_open >= self.count
 
     def open_window(self) -> range:
-        """The tasks that may be worked on: the bitmap in the record covers just these."""
+        """The numbers of the tasks that may be started: the bitmap in the record covers just these."""
         return range(self.first_open, min(self.count, self.first_open + constants.RECORD_WINDOW))
--- a/winglift/model/leadership.py
+++ b/winglift/model/leadership.py
@@ -1,4 +1,4 @@
-"""Leadership of one node, as a state machine."""
+"""The state machine of one node's role in the leader election, and its lease."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Role(Enum):
-    """What a node is in the election."""
+    """A node's role in the election."""
 
     FOLLOWER = auto()
     CAMPAIGNING = auto()
@@ -18,7 +18,7 @@
 
 
 class RoleEvent(Enum):
-    """What moves a role."""
+    """The events of a node's role."""
 
     CAMPAIGN = auto()
     WON = auto()
@@ -44,7 +44,7 @@
 
 @dataclass
 class Leadership:
-    """A node's role, term and lease, as a state machine."""
+    """A node's role, term and lease. Times are steady times in s."""
 
     role: Role = Role.FOLLOWER
     term: int = 0  # the term this node leads or led
@@ -53,16 +53,16 @@
     valid_until: float = 0.0
 
     def move(self, event: RoleEvent) -> Role:
-        """The one place where a node changes its role. What does not apply changes nothing."""
+        """Apply an event; one that the role does not allow changes nothing. The role is changed nowhere else."""
         self.role = TRANSITIONS.get((self.role, event), self.role)
         return self.role
 
     def extend_lease(self, sent_at: float, ttl_s: float) -> None:
-        """The lease runs at least this long: counted from when the renewal was *sent*, by a clock that may be slow."""
+        """Extend the lease by `ttl_s`, counted from when the renewal was *sent*, by a clock that may be slow."""
         self.valid_until = max(
             self.valid_until, sent_at + ttl_s * (1 - 2 * constants.CLOCK_DRIFT) - constants.LEADER_MARGIN_S
         )
 
     def entitled(self, now: float) -> bool:
-        """May this node decide and command now? (invariant 1)"""
+        """Whether this node may decide and send commands now (invariant 1)."""
         return self.role is Role.LEADER and now < self.valid_until
--- a/winglift/model/machine_state.py
+++ b/winglift/model/machine_state.py
@@ -1,4 +1,4 @@
-"""A machine's states as the leader sees them."""
+"""The state machine of a machine, as the leader knows it."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 class MachineState(Enum):
     """A machine's states."""
 
-    BOOTING = auto()  # rented, not heard of yet
+    BOOTING = auto()  # rented, no report yet
     UP = auto()  # reports under the present term
     INHERITED = auto()  # known from records or the list, no report under the present term yet
-    UNRESPONSIVE = auto()  # its reports come, and our answers don't reach it: nothing new is placed there
-    DRAINING = auto()  # noticed, faulty or to be returned: nothing new is placed there
+    UNRESPONSIVE = auto()  # its reports arrive, but our answers don't reach it: nothing new is placed there
+    DRAINING = auto()  # reclaim notice, faulty or to be returned: nothing new is placed there
     DELETING = auto()  # a deletion is under way
     GONE = auto()  # deletion answered
 
 
 class MachineEvent(Enum):
-    """What moves a machine."""
+    """The events of a machine's state machine."""
 
     REPORT = auto()
-    COMMANDS_IGNORED = auto()  # what it reports shows that our answers don't reach it
-    COMMANDS_ACKNOWLEDGED = auto()  # it has answered a question, or a start has shown
+    COMMANDS_IGNORED = auto()  # its reports show that our answers don't reach it
+    COMMANDS_ACKNOWLEDGED = auto()  # it has answered a request, or reports a start that was sent
     DRAIN = auto()
     DELETE = auto()
     DELETE_FAILED = auto()
--- a/winglift/model/quota.py
+++ b/winglift/model/quota.py
@@ -1,4 +1,4 @@
-"""Team accounting: guarantees, limits and what each team's tasks hold."""
+"""Quota accounting per team: guarantees, limits and what the team's tasks use."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 from ..config.settings import Team
 from ..wire.users import Kind, Submission
 
-AMOUNT_TOLERANCE = 1e-6
+AMOUNT_TOLERANCE = 1e-6  # CPUs and GPUs are sums of floats: differences up to this are rounding
+_NO_LIMIT = 1_000_000  # tasks allowed to a team without a limit
 
 
 @dataclass(slots=True)
@@ -21,19 +22,19 @@
 
 @dataclass
 class QuotaUsage:
-    """Counts every place from its proposal until it is proven empty (invariant 5)."""
+    """Usage per team, counted from an assignment's proposal until the task is proven off its machine (invariant 5)."""
 
     teams: dict[str, Team]
     used: dict[str, ResourceUsage] = field(default_factory=lambda: defaultdict(ResourceUsage))
 
     def add(self, spec: Submission, tasks: int = 1) -> None:
-        """Tasks of this size take places."""
+        """Count tasks of this size as assigned."""
         used = self.used[spec.team]
         used.cpus += spec.cpus * tasks
         used.gpus += spec.gpus * tasks
 
     def remove(self, spec: Submission, tasks: int = 1) -> None:
-        """Tasks of this size are proven off."""
+        """Count tasks of this size as proven off their machines."""
         self.add(spec, -tasks)
 
     def tasks_allowed(self, spec: Submission) -> int:
@@ -44,14 +45,14 @@
         return tasks_within_limit(team, spec, self.used[spec.team])
 
     def exceeded(self, name: str) -> bool:
-        """Do the team's places come to more than its limit? After a change of the leader they may."""
+        """Whether the team uses more than its limit. After a failover it may."""
         team, used = self.teams.get(name), self.used[name]
         return team is not None and (
             (0 < team.cpus_max < used.cpus - AMOUNT_TOLERANCE) or (0 < team.gpus_max < used.gpus - AMOUNT_TOLERANCE)
         )
 
     def within_guarantee(self, name: str, cpus: float, gpus: float) -> bool:
-        """Do these amounts fit into the team's guarantee? A guarantee of 0 is none."""
+        """Whether these amounts fit into the team's guarantee. A guarantee of 0 is none."""
         team = self.teams.get(name)
         if team is None or (team.cpus <= 0 and team.gpus <= 0):
             return False
@@ -60,20 +61,20 @@
         )
 
     def borrows(self, name: str) -> bool:
-        """Does the team use more than its guarantee?"""
+        """Whether the team uses more than its guarantee."""
         used = self.used[name]
         return not self.within_guarantee(name, used.cpus, used.gpus)
 
 
 def tasks_within_limit(team: Team, spec: Submission, used: ResourceUsage) -> int:
-    """Tasks of this size that fit under the limit beside `used`; a limit of 0 is none."""
-    most = 1_000_000
-    for cap, need, has in ((team.cpus_max, spec.cpus, used.cpus), (team.gpus_max, spec.gpus, used.gpus)):
-        if cap > 0 and need > 0:
-            most = min(most, int((cap - has + AMOUNT_TOLERANCE) // need))
-    return max(0, most)
+    """How many tasks of this size fit under the limit beside `used`. A limit of 0 is none."""
+    allowed = _NO_LIMIT
+    for limit, needed, in_use in ((team.cpus_max, spec.cpus, used.cpus), (team.gpus_max, spec.gpus, used.gpus)):
+        if limit > 0 and needed > 0:
+            allowed = min(allowed, int((limit - in_use + AMOUNT_TOLERANCE) // needed))
+    return max(0, allowed)
 
 
 def exceeds_limit(team: Team, spec: Submission) -> bool:
-    """Can this job never run under its team's limit? Arrays need one task at a time, others all at once."""
+    """Whether the job can never run under its team's limit. Arrays need one task at a time, others all at once."""
     return tasks_within_limit(team, spec, ResourceUsage()) < (1 if spec.kind is Kind.ARRAY else spec.tasks)
--- a/winglift/model/records.py
+++ b/winglift/model/records.py
@@ -1,4 +1,7 @@
-"""Job records: how a job is packed into one value of the state service."""
+"""Records of the state service: the leader, the term and the jobs, and how a job is packed into one value.
+
+The state service: PROTOCOL, "Controller nodes -> state service".
+"""
 
 from __future__ import annotations
 
@@ -46,10 +49,10 @@
         "cancelled_at": "c",
     },
 ):
-    """`places` groups tasks by machine and attempt: [machine, attempt, "0-3,7"].
+    """A job's record. `assignments` groups tasks by machine and attempt: [machine, attempt, "0-3,7"].
 
-    `submitted` and `cancelled` are times of day by the node that committed them, within `skew_ms` of the true one. A
-    cancelled record without its time, from a version that did not write it, counts as cancelled long ago.
+    `submitted_at` and `cancelled_at` are times of day by the node that committed them, within `skew_ms` of the true
+    one. A cancelled record without its time, from a version that did not write it, counts as cancelled long ago.
     """
 
     submitted_at: float
@@ -70,24 +73,25 @@
 
 
 class FinalStateViolation(Exception):
-    """A change that would take back an end which is recorded."""
+    """A change that would replace a recorded final state."""
 
 
-def record_change(ref: str, version: int, recorded: JobState, record: JobRecord) -> tuple[Condition, Put]:
-    """The one place where a change of a job's record is made, from what it says at this version (0: it is new).
+def record_change(ref: str, version: int, committed: JobState, record: JobRecord) -> tuple[Condition, Put]:
+    """Condition and put of a change of a job's record, whose state is `committed` at `version` (0: it is new).
 
-    No transaction can be built that replaces a recorded end by anything else (invariant 4), and the condition lets none
-    replace what its writer has not read.
+    Changes are made nowhere else: no transaction can be built that replaces a recorded final state by another
+    (invariant 4), and the condition lets none replace what its writer has not read. Raises FinalStateViolation, and
+    InvalidRecord for a state that no record may have.
     """
-    if recorded.is_final and record.state != recorded.value:
-        raise FinalStateViolation(f"{ref} is recorded as {recorded.name.lower()}")
+    if committed.is_final and record.state != committed.value:
+        raise FinalStateViolation(f"{ref} is recorded as {committed.name.lower()}")
     if record.state not in (JobState.OPEN.value, JobState.DONE.value, JobState.CANCELLED.value):
         raise InvalidRecord(f"{ref}: {record.state} is no state of a record")
     return Condition(JOB_PREFIX + ref, version), Put(JOB_PREFIX + ref, record)
 
 
 def pack_ranges(numbers: list[int]) -> str:
-    """Numbers as text: `0-3,7`."""
+    """Numbers as text of ranges: `0-3,7`."""
     parts: list[str] = []
     start = last = None
     for number in sorted(numbers):
@@ -103,7 +107,7 @@
 
 
 def unpack_ranges(text: str) -> list[int]:
-    """The numbers of such a text. Raises ValueError."""
+    """The reverse of `pack_ranges`. Raises ValueError."""
     found: list[int] = []
     for part in text.split(","):
         first, _, last = part.partition("-")
@@ -112,7 +116,7 @@
 
 
 def pack_done(done: CompletedTasks) -> tuple[int, str]:
-    """The lowest task that is not done, and a bitmap of those above it in base 64."""
+    """The lowest task that is not done, and a bitmap from it on of those done above, in base 64."""
     if not done.above:
         return done.first_open, ""
     bits = bytearray((max(done.above) - done.first_open) // 8 + 1)
@@ -125,16 +129,16 @@
 def unpack_done(count: int, low: int, text: str) -> CompletedTasks:
     """The reverse of `pack_done`. Raises ValueError."""
     above = set()
-    for place, byte in enumerate(b64decode(text)):
+    for offset, byte in enumerate(b64decode(text)):
         for bit in range(8):
             if byte >> bit & 1:
-                above.add(low + place * 8 + bit)
+                above.add(low + offset * 8 + bit)
     return CompletedTasks(count, low, above)
 
 
 @dataclass(slots=True)
 class UnpackedRecord:
-    """A record, unpacked."""
+    """A job record in the form of the model."""
 
     spec: Submission
     submitted_at: float
@@ -151,7 +155,7 @@
 
 
 def pack_assignments(tasks: dict[int, Task]) -> list[tuple[str, int, str]]:
-    """Places by machine and attempt, without tasks that are proven off."""
+    """Assignments grouped by machine and attempt, without tasks that have exited or are proven off."""
     groups: dict[tuple[str, int], list[int]] = defaultdict(list)
     for number, task in tasks.items():
         if task.state not in (TaskState.GONE, TaskState.EXITED):
@@ -160,7 +164,7 @@
 
 
 def decode(value: bytes | msgspec.Raw) -> JobRecord:
-    """The record of a stored value. Raises BadRecord."""
+    """The record of a stored value. Raises InvalidRecord."""
     try:
         return _decoder.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
@@ -168,9 +172,11 @@
 
 
 def unpack(record: JobRecord) -> UnpackedRecord:
-    """A record taken apart. Raises BadRecord."""
+    """The unpacked form of a record. Raises InvalidRecord."""
     try:
-        places = {n: (name, attempt) for name, attempt, text in record.assignments for n in unpack_ranges(text)}
+        assignments = {
+            number: (name, attempt) for name, attempt, text in record.assignments for number in unpack_ranges(text)
+        }
         done = unpack_done(record.spec.tasks, record.first_open, record.done_bitmap)
         return UnpackedRecord(
             record.spec,
@@ -178,7 +184,7 @@
             JobState(record.state),
             record.next_attempt,
             done,
-            places,
+            assignments,
             record.cancelled_at,
         )
     except ValueError as err:
@@ -191,10 +197,10 @@
 
 
 def assigned_count(record: JobRecord) -> int:
-    """Number of tasks that hold a place."""
+    """Number of tasks that are assigned to a machine."""
     return sum(len(unpack_ranges(text)) for _, _, text in record.assignments)
 
 
 def encode(record: JobRecord) -> bytes:
-    """The value to be stored."""
+    """The stored value of a record."""
     return msgspec.json.encode(record)
--- a/winglift/model/report_reconciliation.py
+++ b/winglift/model/report_reconciliation.py
@@ -57,7 +57,7 @@
     # a start did not take effect. But a new session has nothing of the one before it, and drops answers to its reports.
     if not direct or new_session:
         _reconcile_absent_tasks(cluster, machine, report, listed, now, direct)
-    commands += _reap_commands(cluster, machine, report)
+    commands += _commands_for_exited_tasks(cluster, machine, report)
     return commands
 
 
@@ -179,7 +179,7 @@
             task_reconciliation.apply_absence(cluster, task, report, now)
 
 
-def _reap_commands(
+def _commands_for_exited_tasks(
     cluster: ClusterState, machine: Machine, report: worker_messages.Report
 ) -> list[worker_messages.Command]:
     """The `reap` commands for the exited tasks of a report whose exits are recorded."""
--- a/winglift/model/task_reconciliation.py
+++ b/winglift/model/task_reconciliation.py
@@ -43,9 +43,9 @@
     if task_report.phase is worker_messages.Phase.EXITED:
         _apply_exit(cluster, task, task_report, now)
         return
-    before = task.state
+    previous = task.state
     task.move(_EVENT_OF_PHASE[task_report.phase], now)
-    if before is not task.state:
+    if previous is not task.state:
         cluster.changed = True
         log.debug(
             "task %s: phase changed, attempt=%d machine=%s state=%s",
@@ -67,8 +67,9 @@
     job = task.job
     if task.state is TaskState.SENT and report.session == task.sent_session and report.seq <= task.sent_seq:
         return
-    # Records come to more than a team's limit where a place was free and given to another job, and its own record did
-    # not say so yet when all nodes ended. Such a place was once started again, 25 GPUs of 24 (invariant 5).
+    # Records add up to more than a team's limit where a task was proven off and its quota given to another job, and its
+    # own record did not say so yet when all nodes stopped. Such a task was once started again, 25 GPUs of 24 (invariant
+    # 5).
     over_limit = task.state is TaskState.UNKNOWN and cluster.quota.exceeded(job.spec.team)
     task.move(TaskEvent.ABSENT, now)
     gone = task.state is TaskState.GONE
@@ -142,7 +143,7 @@
         _attribute_failure(cluster, job, machine, now)
     if exit_reason in _DELAYING_REASONS:
         if now >= job.retry_not_before:
-            # Tasks that fail together are one round: eight at once had asked for the longest pause.
+            # Tasks that fail together are one round: eight at once had led to the longest backoff.
             job.failed_rounds += 1
         if exit_reason != worker_messages.Why.ERROR or failure_attribution.job_is_suspect(job, now):
             job.retry_not_before = max(job.retry_not_before, now + failure_attribution.retry_delay_s(job, now))
@@ -152,12 +153,12 @@
 
 def _attribute_failure(cluster: ClusterState, job: Job, machine: Machine, now: float) -> None:
     """Count a failure against the job and the machine, and act on a change of either's assessment."""
-    before = failure_attribution.job_is_suspect(job, now)
+    was_suspect = failure_attribution.job_is_suspect(job, now)
     failure_attribution.record_failure(job, machine)
     _drain_if_faulty(cluster, machine, now)
-    if failure_attribution.job_is_suspect(job, now) and not before:
-        # What failed together before was one round, however many tasks it was and whenever each was heard of: the
-        # first pause was often the longest, 120 s, also for a sound job that had met two faulty machines.
+    if failure_attribution.job_is_suspect(job, now) and not was_suspect:
+        # The failures so far were one round, however many tasks failed and whenever each was reported: the first
+        # backoff was often the longest, 120 s, also for a sound job that had met two faulty machines.
         job.failed_rounds = 0
         log.info("job %s: suspect, retried with backoff, failed_on=%s", job.ref, ", ".join(job.failed_on))
 
--- a/winglift/model/task_state.py
+++ b/winglift/model/task_state.py
@@ -1,4 +1,4 @@
-"""A task's life while it holds a place: its states, and which event leads from one to the next."""
+"""The state machine of an assigned task."""
 
 from __future__ import annotations
 
@@ -6,33 +6,33 @@
 
 
 class TaskState(Enum):
-    """A placed task's states."""
+    """The states of an assigned task."""
 
     PROPOSED = auto()  # decided; its record is not committed yet
     COMMITTED = auto()  # the record holds machine and attempt; the start has not been sent
     SENT = auto()  # the start went out in a report's response; whether it took effect is open
-    UNKNOWN = auto()  # inherited from a record: it may run there, no fresh report has told yet
+    UNKNOWN = auto()  # inherited from a record: it may run there, no report under this term has shown it yet
     FETCHING = auto()
     WAITING = auto()
     RUNNING = auto()
     SAVING = auto()
-    EXITED = auto()  # the worker holds its exit; it takes no room any more
+    EXITED = auto()  # the worker still reports its exit; it uses no capacity any more
     GONE = auto()  # proven off its machine
 
 
 class TaskEvent(Enum):
-    """What moves a task."""
+    """The events of a task's state machine."""
 
     COMMIT = auto()
-    REJECT = auto()  # the commit did not happen: the place was never taken
+    REJECT = auto()  # the commit did not happen: the task was never assigned
     SEND = auto()
     SEEN_FETCHING = auto()
     SEEN_WAITING = auto()
     SEEN_RUNNING = auto()
     SEEN_SAVING = auto()
     SEEN_EXITED = auto()
-    ABSENT = auto()  # a fresh report without it
-    MACHINE_GONE = auto()  # deletion answered
+    ABSENT = auto()  # a newer report does not list it
+    MACHINE_GONE = auto()  # the machine's deletion was answered
 
 
 class InvalidTransition(Exception):
@@ -51,7 +51,7 @@
     (_S.SENT, _E.ABSENT): _S.COMMITTED,
     (_S.UNKNOWN, _E.ABSENT): _S.COMMITTED,
     (_S.COMMITTED, _E.ABSENT): _S.COMMITTED,
-    # It was there and is not any more: the session ended.
+    # It was reported and no longer is: the worker's session ended.
     (_S.FETCHING, _E.ABSENT): _S.GONE,
     (_S.WAITING, _E.ABSENT): _S.GONE,
     (_S.RUNNING, _E.ABSENT): _S.GONE,
@@ -72,7 +72,7 @@
 
 
 def next_state(state: TaskState, event: TaskEvent) -> TaskState:
-    """The state after an event. Raises WrongEvent."""
+    """The state after an event. Raises InvalidTransition."""
     try:
         return TRANSITIONS[state, event]
     except KeyError:
--- a/winglift/workers/cancellation_enforcement.py
+++ b/winglift/workers/cancellation_enforcement.py
@@ -109,9 +109,9 @@
         now = monotonic_time()
         for ref, machine in proofs:
             if ref:
-                self.cancellations.clear_machine(ref, machine, now, told=True)
+                self.cancellations.clear_machine(ref, machine, now, proven_by_peer=True)
             else:
-                self.cancellations.machine_deleted(machine, now, told=True)
+                self.cancellations.machine_deleted(machine, now, proven_by_peer=True)
         gone = [machine for ref, machine in proofs if not ref]
         if gone:
             self.node.on_machines_deleted(gone)
