--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -300,8 +300,8 @@
 
 def put_off(self, ref, version, record, now):
     job = self.cluster.jobs.get(ref)
-    if job is not None and job.writing:
-        job.pending = (version, records.encode(record))
+    if job is not None and job.write_in_flight:
+        job.deferred_change = (version, records.encode(record))
     else:
         apply_record(self.cluster, ref, version, record, now)
 
