--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -1,4 +1,4 @@
-"""Cancellations that a node answers for: the list of them as a state machine, and what it may be told."""
+"""Cancellations that a node enforces: their registry and state machine, and the notifications between nodes."""
 
 from __future__ import annotations
 
@@ -57,51 +57,50 @@
     return CancellationRegistry(0.025, CANCEL_S, most)
 
 
-ACTS = st.sampled_from(["record", "proof", "gone", "answer", "answer with", "report", "lead", "orphan"])
+ACTIONS = st.sampled_from(["record", "proof", "gone", "answer", "answer with", "report", "lead", "orphan"])
 
 
-@given(st.lists(st.tuples(ACTS, st.sampled_from(MACHINES), st.floats(0.1, 4.0)), max_size=40))
-def test_an_end_is_settled_by_proof_only_and_what_shows_up_again_is_seen_to(course):
+@given(st.lists(st.tuples(ACTIONS, st.sampled_from(MACHINES), st.floats(0.1, 4.0)), max_size=40))
+def test_a_cancellation_is_confirmed_by_proof_only_and_reopened_by_a_reported_task(course):
     """Against a plain model: the machines that have not been proven free since they were last seen to hold a task."""
-    intent_log, now, version = cancellations(), 0.0, 5
+    registry, now, version = cancellations(), 0.0, 5
     held = set(MACHINES)
-    cancellation = intent_log.add_record("wk-1", version, record(dict.fromkeys(MACHINES, "0-1")), now)
+    cancellation = registry.add_record("wk-1", version, record(dict.fromkeys(MACHINES, "0-1")), now)
     assert cancellation is not None
-    for act, machine, later in course:
+    for action, machine, later in course:
         now += later
-        settled = (
-            now >= intent_log.settle_s
-        )  # since this node knows of it: its time of day may be of long before the commit
-        if act == "record":
+        # Since this node knows of it: its time of day may be of long before the commit.
+        settled = now >= registry.settle_s
+        if action == "record":
             version += 1
-            intent_log.add_record("wk-1", version, record(dict.fromkeys(held - {machine}, "0-1")), now)
+            registry.add_record("wk-1", version, record(dict.fromkeys(held - {machine}, "0-1")), now)
             held.discard(machine)
-        elif act == "proof":
-            intent_log.clear_machine("wk-1", machine, now, proven_by_peer=True)
+        elif action == "proof":
+            registry.clear_machine("wk-1", machine, now, proven_by_peer=True)
             held.discard(machine)
-        elif act == "gone":
-            intent_log.machine_deleted(machine, now)
+        elif action == "gone":
+            registry.machine_deleted(machine, now)
             held.discard(machine)
-        elif act == "answer":
-            assert intent_log.on_probe_answer(report(machine, "wk-2/0"), now, now) == []
+        elif action == "answer":
+            assert registry.on_probe_answer(report(machine, "wk-2/0"), now, now) == []
             if settled:
                 held.discard(machine)
-        elif act == "answer with":
-            assert [h.task for h in intent_log.on_probe_answer(report(machine, "wk-1/7"), now, now)] == ["wk-1/7"]
+        elif action == "answer with":
+            assert [h.task for h in registry.on_probe_answer(report(machine, "wk-1/7"), now, now)] == ["wk-1/7"]
             held.add(machine)
-        elif act == "report":
+        elif action == "report":
             # An exit is no task on the machine, and no proof either: it may be a copy of an old report.
-            assert intent_log.on_report(report(machine, "wk-1/7", phase=worker_messages.Phase.EXITED), now) == []
+            assert registry.on_report(report(machine, "wk-1/7", phase=worker_messages.Phase.EXITED), now) == []
         else:
-            cancellation.move(CancellationEvent.DELEGATE if act == "lead" else CancellationEvent.DELEGATE_LOST, now)
+            cancellation.move(CancellationEvent.DELEGATE if action == "lead" else CancellationEvent.DELEGATE_LOST, now)
         assert set(cancellation.stop_commands) == held
         assert (cancellation.state is CancellationState.CONFIRMED) == (not held)
-        due = intent_log.machines_to_delete(now, now, 0, 2.0)
+        due = registry.machines_to_delete(now, now, 0, 2.0)
         assert set(due) <= held
         if due:
             assert (
                 cancellation.state is CancellationState.OUTSTANDING
-                and now + 2 * intent_log.skew_s > CANCEL_S * constants.CANCEL_DELETE_SHARE
+                and now + 2 * registry.skew_s > CANCEL_S * constants.CANCEL_DELETE_SHARE
             )
 
 
@@ -109,13 +108,13 @@
 def test_a_cancellation_that_was_carried_out_late_is_no_older_than_the_word_of_it(late_s):
     """Its time of day was read before the transaction was sent, and a leader may have sent starts until it was carried
     out: an answer that comes soon after proves nothing."""
-    intent_log, now = cancellations(), 100.0
-    cancellation = intent_log.add_record("wk-1", 5, record({"vm-000001": "0"}, at=now - late_s), now)
+    registry, now = cancellations(), 100.0
+    cancellation = registry.add_record("wk-1", 5, record({"vm-000001": "0"}, at=now - late_s), now)
     assert cancellation is not None
-    # What counts is when it was asked: the answer may have been held up.
-    intent_log.on_probe_answer(report("vm-000001"), now + intent_log.settle_s - 0.1, now + intent_log.settle_s + 1.5)
+    # What counts is when the probe was sent: the answer may have been delayed.
+    registry.on_probe_answer(report("vm-000001"), now + registry.settle_s - 0.1, now + registry.settle_s + 1.5)
     assert cancellation.state is CancellationState.OUTSTANDING
-    intent_log.on_probe_answer(report("vm-000001"), now + intent_log.settle_s, now + intent_log.settle_s)
+    registry.on_probe_answer(report("vm-000001"), now + registry.settle_s, now + registry.settle_s)
     assert cancellation.state is CancellationState.CONFIRMED
 
 
@@ -125,7 +124,7 @@
         assert cancellation is not None
         cancellation.state = state
         assert cancellation.move(event, 1.0) is TRANSITIONS.get((state, event), state)
-    # Only what a machine shows leads out of a settled one, and nothing settles one but a proof.
+    # Only a reported task reopens a confirmed one, and nothing confirms one but a proof.
     assert {e for (s, e), new in TRANSITIONS.items() if s is CancellationState.CONFIRMED} == {
         CancellationEvent.TASK_SEEN
     }
@@ -135,47 +134,46 @@
 
 
 @pytest.mark.parametrize("state", ["o", "d"])
-def test_what_is_open_or_done_is_no_end_to_see_to(state):
-    intent_log = cancellations()
-    assert intent_log.add_record("wk-1", 3, record({"vm-000001": "0"}, state), 0.0) is None and not intent_log.by_job
-    assert (
-        intent_log.add_record("wk-1", 3, record({}), 0.0) is None and not intent_log.by_job
-    )  # nothing was ever placed
-
-
-def test_a_copy_and_an_older_word_change_nothing():
-    intent_log = cancellations()
-    cancellation = intent_log.add_record("wk-1", 5, record({"vm-000001": "0", "vm-000002": "1"}), 0.0)
-    intent_log.clear_machine("wk-1", "vm-000001", 1.0, proven_by_peer=True)
+def test_a_record_that_is_open_or_done_gives_no_cancellation(state):
+    registry = cancellations()
+    assert registry.add_record("wk-1", 3, record({"vm-000001": "0"}, state), 0.0) is None and not registry.by_job
+    # Cancelled, but nothing was ever assigned.
+    assert registry.add_record("wk-1", 3, record({}), 0.0) is None and not registry.by_job
+
+
+def test_a_repeated_and_an_older_record_change_nothing():
+    registry = cancellations()
+    cancellation = registry.add_record("wk-1", 5, record({"vm-000001": "0", "vm-000002": "1"}), 0.0)
+    registry.clear_machine("wk-1", "vm-000001", 1.0, proven_by_peer=True)
     for version in (5, 4):
-        assert intent_log.add_record("wk-1", version, record(dict.fromkeys(MACHINES, "0")), 2.0) is cancellation
+        assert registry.add_record("wk-1", version, record(dict.fromkeys(MACHINES, "0")), 2.0) is cancellation
         assert cancellation is not None and set(cancellation.stop_commands) == {"vm-000002"}
 
 
-def test_the_list_has_a_bound_and_what_is_open_is_not_forgotten_for_it():
-    intent_log = cancellations(most=3)
+def test_the_registry_has_a_bound_and_drops_no_outstanding_cancellation():
+    registry = cancellations(most=3)
     for n in range(3):
-        intent_log.add_record(f"wk-{n}", 1, record({"vm-000001": "0"}), 0.0)
-    intent_log.by_job["wk-1"].move(CancellationEvent.DELEGATE, 0.0)
-    assert intent_log.add_record("wk-7", 1, record({"vm-000001": "0"}), 0.0) is not None
-    assert set(intent_log.by_job) == {"wk-0", "wk-2", "wk-7"}
-    assert intent_log.add_record("wk-8", 1, record({"vm-000001": "0"}), 0.0) is None and len(intent_log.by_job) == 3
+        registry.add_record(f"wk-{n}", 1, record({"vm-000001": "0"}), 0.0)
+    registry.by_job["wk-1"].move(CancellationEvent.DELEGATE, 0.0)
+    assert registry.add_record("wk-7", 1, record({"vm-000001": "0"}), 0.0) is not None
+    assert set(registry.by_job) == {"wk-0", "wk-2", "wk-7"}
+    assert registry.add_record("wk-8", 1, record({"vm-000001": "0"}), 0.0) is None and len(registry.by_job) == 3
 
 
-def test_who_has_just_become_answerable_asks_first_unless_it_is_the_last_moment():
-    intent_log = cancellations()
-    cancellation = intent_log.add_record("wk-1", 1, record({"vm-000001": "0"}), 0.0)
+def test_a_node_that_has_just_become_responsible_probes_first_unless_time_runs_out():
+    registry = cancellations()
+    cancellation = registry.add_record("wk-1", 1, record({"vm-000001": "0"}), 0.0)
     assert cancellation is not None
     early, late = CANCEL_S * constants.CANCEL_DELETE_SHARE + 0.5, CANCEL_S * constants.CANCEL_LAST_SHARE + 0.5
     cancellation.state_since = early - 1.0
-    assert intent_log.machines_to_delete(early, early, 0, 2.0) == [] and intent_log.machines_to_delete(
+    assert registry.machines_to_delete(early, early, 0, 2.0) == [] and registry.machines_to_delete(
         early + 1.5, early + 1.5, 0, 2.0
     ) == ["vm-000001"]
     cancellation.state_since = late - 0.1
-    assert intent_log.machines_to_delete(late, late, 0, 2.0) == ["vm-000001"]
+    assert registry.machines_to_delete(late, late, 0, 2.0) == ["vm-000001"]
     # The next node waits for what the first one does.
     cancellation.state_since = 0.0
-    assert intent_log.machines_to_delete(early, early, 1, 2.0) == [] and intent_log.machines_to_delete(
+    assert registry.machines_to_delete(early, early, 1, 2.0) == [] and registry.machines_to_delete(
         late, late, 1, 2.0
     ) == ["vm-000001"]
 
@@ -389,13 +387,13 @@
 def test_a_start_in_flight_proves_that_an_early_answer_is_no_proof(monkeypatch):
     """Without the time in which it may come a machine counts as free while the start is on its way to it."""
     monkeypatch.setattr(CancellationRegistry, "__init__", no_settling)
-    intent_log = cancellations()
-    intent_log.add_record("wk-1", 1, record({"vm-000001": "0"}), 0.0)
-    intent_log.on_probe_answer(report("vm-000001"), 0.1, 0.1)
-    assert intent_log.by_job["wk-1"].state is CancellationState.CONFIRMED
+    registry = cancellations()
+    registry.add_record("wk-1", 1, record({"vm-000001": "0"}), 0.0)
+    registry.on_probe_answer(report("vm-000001"), 0.1, 0.1)
+    assert registry.by_job["wk-1"].state is CancellationState.CONFIRMED
     monkeypatch.undo()
-    intent_log = cancellations()
-    intent_log.add_record("wk-1", 1, record({"vm-000001": "0"}), 0.0)
-    intent_log.on_probe_answer(report("vm-000001"), 0.1, 0.1)
-    assert intent_log.by_job["wk-1"].state is CancellationState.OUTSTANDING
-    assert intent_log.settle_s < CANCEL_S * constants.CANCEL_DELETE_SHARE
+    registry = cancellations()
+    registry.add_record("wk-1", 1, record({"vm-000001": "0"}), 0.0)
+    registry.on_probe_answer(report("vm-000001"), 0.1, 0.1)
+    assert registry.by_job["wk-1"].state is CancellationState.OUTSTANDING
+    assert registry.settle_s < CANCEL_S * constants.CANCEL_DELETE_SHARE
--- a/tests/test_cluster_state.py
+++ b/tests/test_cluster_state.py
@@ -1,4 +1,4 @@
-"""The leader's picture under generated histories: records, reports late and lost, stops, deletions."""
+"""The cluster state under generated histories: records, reports late and lost, stops, deletions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FakeWorker:
-    """What a machine really does, independent of the leader's picture."""
+    """What a machine really does, independent of the leader's cluster state."""
 
     def __init__(self, name: str, zone: str, spot: bool) -> None:
         self.name, self.zone, self.spot = name, zone, spot
@@ -30,7 +30,7 @@
 
     def report(self) -> worker_messages.Report:
         self.seq += 1
-        pieces = [
+        task_reports = [
             worker_messages.TaskReport(
                 name,
                 attempt,
@@ -48,7 +48,7 @@
             session=self.session,
             seq=self.seq,
             token=self.token,
-            tasks=pieces,
+            tasks=task_reports,
         )
 
     def obey(self, token: int, commands: list[worker_messages.Command]) -> list[str]:
@@ -175,12 +175,12 @@
 
     @rule(zone=st.sampled_from(["", "a", "b"]))
     def cut_off(self, zone):
-        """A zone is cut off, or none any more. What runs there lives on or not, as `lease_ends` says."""
+        """A zone is cut off, or none any more. What runs there goes on or not, as `lease_ends` says."""
         self.cut = zone
 
     @rule(seconds=st.sampled_from([0.5, 3.0, 11.0, 40.0]), hears_all=st.booleans(), answered=st.booleans())
     def judge(self, seconds, hears_all, answered):
-        """The leader gives machines up; the deletion is carried out, and perhaps answered."""
+        """The leader deletes unresponsive machines; the deletion is carried out, and perhaps answered."""
         self.now += seconds
         for machine, _ in self.failure_detector.evaluate(self.now, 1e9 + self.now, True, hears_all).to_delete:
             self.workers.pop(machine.name, None)
@@ -238,7 +238,7 @@
         self.takeover()
 
     @invariant()
-    def books_are_right(self):
+    def quota_usage_is_right(self):
         for team in ("red", "blue"):
             held = [t for j in self.cluster.jobs.values() for t in j.active.values() if j.spec.team == team]
             assert abs(self.cluster.quota.used[team].gpus - sum(t.job.spec.gpus for t in held)) < 1e-6
@@ -254,7 +254,7 @@
                 assert task.machine.tasks[job.ref, task.index] is task
 
     @invariant()
-    def places_are_allowed(self):
+    def assignments_are_allowed(self):
         running: dict[str, list[FakeWorker]] = {}
         for worker in self.workers.values():
             for (task, _), state in worker.tasks.items():
@@ -343,9 +343,10 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.booleans()), min_size=1, max_size=14), st.permutations(range(4)))
-def test_places_beyond_a_teams_limit_are_not_started_again_by_a_successor(places, order):
-    """Records may name more places than the limit allows: one was free and given away, and its record did not say so
-    yet when all nodes ended. What does not run is started again only as far as the limit goes; what runs goes on."""
+def test_assignments_beyond_a_teams_limit_are_not_restarted_by_a_new_leader(places, order):
+    """Records may assign more than the limit allows: a task was proven off and its quota given to another job, and its
+    record did not say so yet when all nodes stopped. What does not run is restarted only up to the limit; what runs
+    goes on."""
     cluster = ClusterState(settings(), {"g4": TYPE}, 2)
     limit = int(cluster.quota.teams["red"].gpus_max)
     running = [n for n, (_, runs) in enumerate(places) if runs][:limit]
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -1,4 +1,4 @@
-"""Whose fault: the machine's, the job's, or the place's, where new machines stay dark."""
+"""Attribution of failures to a machine, a job, or a capacity pool whose new machines fail to boot."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 5)), max_size=40))
 def test_a_job_that_fails_everywhere_makes_no_machine_faulty(failures):
-    """However many tasks of two mistaken jobs fail, wherever: two jobs, each on several machines."""
+    """However many tasks of two faulty jobs fail, wherever: two jobs, each on several machines."""
     jobs = [Job(f"wk-{i}", spec(f"wk-{i}"), 0.0) for i in range(2)]
     machines = [machine(f"vm-{i}") for i in range(6)]
     for job in jobs:
@@ -54,7 +54,7 @@
 
 
 def test_a_job_that_met_two_faulty_machines_is_suspected_no_longer_once_they_are_found():
-    """A gang had members on two of them; it would have waited for free room while sound ones were made room for."""
+    """A gang had members on two of them; it would have waited for free capacity while sound jobs preempted others."""
     job, others = Job("wk-1", spec("wk-1"), 0.0), [Job(f"wk-{n}", spec(f"wk-{n}"), 0.0) for n in (2, 3)]
     bad = [machine("vm-1"), machine("vm-2")]
     for host, other in zip(bad, others, strict=True):
@@ -70,7 +70,7 @@
     assert not failure_attribution.job_is_suspect(job, 1.0) and job.retry_not_before == 1.0
 
 
-def test_two_jobs_that_failed_nowhere_else_speak_against_the_machine():
+def test_failures_of_two_jobs_that_failed_nowhere_else_make_the_machine_faulty():
     bad = machine("vm-bad")
     for number in range(constants.FAULTY_MACHINE_FAILURES):
         failure_attribution.record_failure(Job(f"wk-{number}", spec(f"wk-{number}"), 0.0), bad)
@@ -78,7 +78,7 @@
 
 
 def fail(cluster: ClusterState, job: Job, index: int, name: str, seq: int, now: float) -> None:
-    """One task is placed, runs and fails."""
+    """Assign one task, run it and let it fail."""
     host = cluster.machines[name]
     attempt = job.next_attempt
     assert cluster.propose_placement(job, [(index, host)], now)
@@ -99,8 +99,8 @@
         assert reconcile_report(cluster, report, now) is not None
 
 
-def test_a_mistaken_array_loses_no_machine_and_is_tried_ever_more_rarely():
-    """Eight of its tasks failed on one machine at once, which was emptied of its replicas and given back."""
+def test_a_faulty_array_drains_no_machine_and_is_retried_ever_more_rarely():
+    """Eight of its tasks failed on one machine at once, which was drained of its replicas and deleted."""
     cluster = ClusterState(settings(), {"g4": TYPE}, 1)
     for i in range(6):
         report = worker_messages.Report(
@@ -109,17 +109,17 @@
         assert reconcile_report(cluster, report, 0.0) is not None
     job = apply_record(cluster, "wk-1", 1, records.new_record(spec("wk-1", tasks=8), 0.0), 0.0)
     assert job is not None
-    now, pauses = 10.0, []
+    now, backoffs = 10.0, []
     for number in range(6):
         for index in range(3):
             fail(cluster, job, index, f"vm-{number}", 10 * index, now)
-        pauses.append(job.retry_not_before - now)
+        backoffs.append(job.retry_not_before - now)
         now = max(now + 1.0, job.retry_not_before)
     assert all(m.state is MachineState.UP for m in cluster.machines.values())
-    assert pauses[1:] == sorted(pauses[1:]) and pauses[-1] > 4 * pauses[1] > 0
+    assert backoffs[1:] == sorted(backoffs[1:]) and backoffs[-1] > 4 * backoffs[1] > 0
 
 
-def test_nothing_is_stopped_or_rented_for_a_job_that_looks_mistaken():
+def test_nothing_is_stopped_or_rented_for_a_suspect_job():
     job = spec("wk-1", tasks=1)
     busy = policy_snapshot.FreeCapacity(
         "vm-1",
@@ -142,33 +142,39 @@
     probe = plan([busy], is_probe=True)
     assert not probe.stops and not probe.rentals and not probe.starts
     assert plan([free], is_probe=True).starts
-    # It is tried where it has not failed yet.
+    # It is retried where it has not failed yet.
     assert not plan([free], is_probe=True, avoided_machines=frozenset({"vm-2"})).starts
 
 
-def test_an_overdue_machine_makes_its_zone_dark_until_a_later_one_comes_up_in_time():
-    boots, usual = BootTracker(), constants.BOOT_USUAL * TYPE.boot_s
-    dark = [machine(f"vm-{i}", 0.0, MachineState.BOOTING) for i in range(constants.FAILING_POOL_MACHINES)]
-    assert not boots.detect_failing_pools(dark, usual - 1) and not boot_overdue(dark[0], usual - 1)
-    assert boots.detect_failing_pools(dark, usual + 1) == {("g4", "a")} and boot_overdue(dark[0], usual + 1)
+def test_overdue_machines_mark_their_pool_as_failing_until_a_later_one_boots_in_time():
+    tracker, usual = BootTracker(), constants.BOOT_USUAL * TYPE.boot_s
+    overdue = [machine(f"vm-{i}", 0.0, MachineState.BOOTING) for i in range(constants.FAILING_POOL_MACHINES)]
+    assert not tracker.detect_failing_pools(overdue, usual - 1) and not boot_overdue(overdue[0], usual - 1)
+    assert tracker.detect_failing_pools(overdue, usual + 1) == {("g4", "a")} and boot_overdue(overdue[0], usual + 1)
     now = usual + 2
-    assert boots.probe_allowance([TYPE], dark, [], now) == {("g4", "a"): constants.FAILING_POOL_PROBES}
+    assert tracker.probe_allowance([TYPE], overdue, [], now) == {("g4", "a"): constants.FAILING_POOL_PROBES}
     probe = machine("vm-9", now, MachineState.BOOTING)
-    assert boots.probe_allowance([TYPE], [*dark, probe], [], now) == {("g4", "a"): 0}
-    assert boots.probe_allowance([TYPE], dark, [("g4", "a")], now) == {("g4", "a"): 0}
-    # One of the first that comes up after all was late: it shows nothing.
-    assert not boots.boot_completed(dark[0], now) and boots.failing_since
-    assert boots.boot_completed(probe, now + TYPE.boot_s) and not boots.failing_since
-    # Single late machines beside others that came up in time are no fault of the place.
-    assert not boots.detect_failing_pools(dark, now + 100)
+    assert tracker.probe_allowance([TYPE], [*overdue, probe], [], now) == {("g4", "a"): 0}
+    assert tracker.probe_allowance([TYPE], overdue, [("g4", "a")], now) == {("g4", "a"): 0}
+    # One of the first that boots after all was late: it shows nothing.
+    assert not tracker.boot_completed(overdue[0], now) and tracker.failing_since
+    assert tracker.boot_completed(probe, now + TYPE.boot_s) and not tracker.failing_since
+    # Single late machines beside others that booted in time are no fault of the pool.
+    assert not tracker.detect_failing_pools(overdue, now + 100)
 
 
-def test_a_dark_zone_is_tried_with_few_machines_and_the_rest_go_elsewhere():
+def test_a_failing_pool_is_probed_with_few_machines_and_the_rest_are_rented_elsewhere():
     demand = policy_snapshot.Demand("wk-1", spec("wk-1", tasks=1, gpus=4.0), [0], 0.0, 60.0, {})
 
-    def zones(dark):
+    def zones(probe_allowance):
         snap = policy_snapshot.Snapshot(
-            1000.0, [], [], ClusterState(settings(), {}, 1).quota, {"g4": TYPE}, set(), boot_probe_allowance=dark
+            1000.0,
+            [],
+            [],
+            ClusterState(settings(), {}, 1).quota,
+            {"g4": TYPE},
+            set(),
+            boot_probe_allowance=probe_allowance,
         )
         renting = Renting(snap, policy_snapshot.Plan(), [])
         capacities = [renting.rent(demand, {}) for _ in range(4)]
@@ -178,33 +184,33 @@
     assert zones({("g4", "a"): 1}) == ["b"] * 4
 
 
-def test_where_new_machines_are_late_everywhere_they_still_count_and_half_are_waited_for_longer():
-    """Coming up after four times the usual, all were given back after two and a half times; replacing them at once
-    filled the cloud's capacity with dark machines."""
-    boots, late = BootTracker(), [machine(f"vm-{i}", 0.0, MachineState.BOOTING, "ab"[i % 2]) for i in range(20)]
-    assert {boots.boot_timeout_s(m, [TYPE]) for m in late} == {constants.BOOT_TIMEOUT * TYPE.boot_s}
-    assert not any(boots.is_expected(m, [TYPE], 100.0) for m in late)
-    boots.detect_failing_pools(late, 100.0)
-    assert boots.all_pools_failing([TYPE]) and boots.probe_allowance([TYPE], late, [], 100.0) == {}
-    assert all(boots.is_expected(m, [TYPE], 100.0) for m in late)
-    assert {boots.boot_timeout_s(m, [TYPE]) / TYPE.boot_s for m in late} == {
+def test_with_all_pools_failing_overdue_machines_still_count_and_half_are_kept_longer():
+    """Booting after four times the usual time, all were deleted after two and a half times; replacing them at once
+    filled the cloud's capacity with machines that did not boot."""
+    tracker, late = BootTracker(), [machine(f"vm-{i}", 0.0, MachineState.BOOTING, "ab"[i % 2]) for i in range(20)]
+    assert {tracker.boot_timeout_s(m, [TYPE]) for m in late} == {constants.BOOT_TIMEOUT * TYPE.boot_s}
+    assert not any(tracker.is_expected(m, [TYPE], 100.0) for m in late)
+    tracker.detect_failing_pools(late, 100.0)
+    assert tracker.all_pools_failing([TYPE]) and tracker.probe_allowance([TYPE], late, [], 100.0) == {}
+    assert all(tracker.is_expected(m, [TYPE], 100.0) for m in late)
+    assert {tracker.boot_timeout_s(m, [TYPE]) / TYPE.boot_s for m in late} == {
         constants.BOOT_TIMEOUT,
         constants.BOOT_TIMEOUT_FAILING,
     }
 
 
 @given(st.integers(1, 30), st.integers(0, 12))
-def test_a_sound_job_that_met_faulty_machines_waits_less_than_90_s_beside_room(failures, machines):
-    """Its longest pause, the time in which it is not tried where it failed, and the run that shows it sound."""
+def test_a_sound_job_that_met_faulty_machines_waits_less_than_90_s_beside_free_capacity(failures, machines):
+    """Its longest backoff, the time in which it avoids machines where it failed, and the run that shows it sound."""
     lab = Fleet(20)
     cluster, job = lab.cluster, lab.cluster.jobs[lab.job(Kind.ARRAY, 3, 1.0, 4.0)]
     for name in list(cluster.machines)[:machines]:
         failure_attribution.record_failure(job, cluster.machines[name])
     job.failed_rounds = failures
-    pause = failure_attribution.retry_delay_s(job, 0.0)
-    assert pause + constants.SOUND_RUN_S + constants.IDLE_CYCLE_S < 90.0 and pause < constants.AVOID_S
+    backoff = failure_attribution.retry_delay_s(job, 0.0)
+    assert backoff + constants.SOUND_RUN_S + constants.IDLE_CYCLE_S < 90.0 and backoff < constants.AVOID_S
     snapshot_builder = lab.fresh_view()
-    job.retry_not_before = lab.now + pause
+    job.retry_not_before = lab.now + backoff
     assert snapshot_builder._demand(job, lab.now, NOW, False) is None
     job.unplaced_since = lab.now
     first = snapshot_builder._demand(job, job.retry_not_before, NOW, False)
@@ -215,8 +221,8 @@
 
 
 @given(st.lists(st.floats(0.0, 3.0), min_size=2, max_size=40))
-def test_the_first_pause_of_a_job_that_looks_mistaken_is_a_short_one(times):
-    """Its tasks fail together, but are heard of one after the other."""
+def test_the_first_backoff_of_a_suspect_job_is_short(times):
+    """Its tasks fail together, but are reported one after the other."""
     cluster = ClusterState(settings(), {"g4": TYPE}, 1)
     count = len(times)
     for i in range(count):
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -1,4 +1,4 @@
-"""Bounds that rest on a number of machines or tasks, at one and a half times the largest fleet: 970, on one node."""
+"""Bounds on numbers of machines or tasks, at one and a half times the largest fleet (970 machines), on one node."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 
 @pytest.mark.parametrize("machines", [FLEET, constants.CONTACTS_MAX + 500])
 @pytest.mark.parametrize("leader_reachable", [True, False])
-def test_all_workers_come_to_the_node_that_is_left_within_a_second_some_of_them_twice(machines, leader_reachable):
-    """None is turned away, whether the leader is in reach or not; what is remembered of them has a bound."""
+def test_the_remaining_node_answers_all_workers_within_a_second_and_some_of_them_twice(machines, leader_reachable):
+    """None is rejected, whether the leader can be reached or not; the contacts that are kept have a bound."""
     handler, peers = follower("a", b="node-1")
     peers.works = leader_reachable
 
@@ -52,13 +52,13 @@
         return found + [await ask(n, 5) for n in range(0, machines, 3)]
 
     statuses = asyncio.run(scenario())
-    # A second one of a worker of the other zone is sent home, once it has been served.
+    # A second report of a worker of the other zone is redirected to its own zone, once one has been answered.
     assert set(statuses[:machines]) == {200} and set(statuses) <= {200, 421}
     assert len(handler._contacts) <= constants.CONTACTS_MAX + 1
 
 
-def test_names_of_all_tasks_that_run_at_a_time_are_kept_in_their_parts():
-    """With one too few none would be found again: all come round with the reports."""
+def test_the_parsed_names_of_all_running_tasks_stay_cached():
+    """With a cache one entry too small none would be found: reports list all of them in turn."""
     worker_messages.parse_task.cache_clear()
     for _ in range(2):
         for number in range(FLEET * 8):
@@ -68,20 +68,20 @@
 
 
 @pytest.mark.parametrize("most", [4096 - constants.RECORD_SPARE_BYTES, 8192 - constants.RECORD_SPARE_BYTES])
-def test_images_of_all_machines_fit_their_pages_the_latest_used_of_each_at_least(most):
+def test_image_caches_of_all_machines_fit_their_records_with_the_latest_used_images_at_least(most):
     images = {
         f"vm-{n:06d}": {f"img-{i % 60:02d}": 6.0 + i % 60 for i in range(n * 7, n * 7 + 10)} for n in range(FLEET)
     }
-    pages = image_cache_record.pack(images, most)
-    assert len(pages) <= constants.IMAGE_CACHE_RECORDS and all(len(value) <= most for value in pages.values())
-    again = image_cache_record.unpack(pages.values())
+    values = image_cache_record.pack(images, most)
+    assert len(values) <= constants.IMAGE_CACHE_RECORDS and all(len(value) <= most for value in values.values())
+    again = image_cache_record.unpack(values.values())
     assert again.keys() == images.keys()
     for name, held in again.items():
         whole = list(images[name].items())
         assert list(held.items()) == whole[len(whole) - len(held) :]
 
 
-def test_of_a_whole_fleet_that_is_silent_some_are_asked_at_a_time_and_all_in_turn(monkeypatch):
+def test_of_a_silent_fleet_a_limited_number_is_probed_at_a_time_and_all_in_turn(monkeypatch):
     async def scenario() -> None:
         asked: set[str] = set()
         prober = Prober(None, Leadership())  # type: ignore[arg-type]
@@ -98,7 +98,7 @@
 
         monkeypatch.setattr(prober, "_question", question)
         monkeypatch.setattr("winglift.workers.probes.monotonic_time", lambda: 10.0)
-        prober.cluster = type("Picture", (), {"changed": False})()  # type: ignore[assignment]
+        prober.cluster = type("FakeClusterState", (), {"changed": False})()  # type: ignore[assignment]
         for _ in range(FLEET // constants.PROBES_AT_ONCE + 2):
             prober.probe([m for m in machines if m.probe_failed_at < 10.0], {"a": control})
             assert len(prober._asking) <= constants.PROBES_AT_ONCE
