--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -24,9 +24,10 @@
 from ..model.task_state import PRESENT, TaskState
 from ..net.runtime import monotonic_time, wall_time
 from ..policy import snapshot as policy_snapshot
-from ..policy.failure_detector import FailureDetector, last_contact
+from ..policy.failure_detector import FailureDetector
 from ..policy.plan import make_plan
 from ..policy.renting import merge_rentals
+from ..policy.zone_reachability import last_contact
 from ..store.batcher import Batcher
 from ..store.client import Health, StateClient
 from ..store.election import Election
--- /dev/null
+++ b/winglift/policy/zone_reachability.py
@@ -0,0 +1,149 @@
+"""Reachability per zone: partitions, suspected partitions, asymmetric partitions and zones not heard yet.
+
+A partition shows as the silence of many machines of one zone at once. The module is pure; times are monotonic seconds.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+
+from .. import constants
+from ..config.settings import Workers
+from ..model.cluster_state import ClusterState
+from ..model.entities import Machine
+from ..model.machine_state import MachineState
+
+CountPerZone = dict[str, int]
+
+
+def last_contact(machine: Machine) -> float:
+    """When a machine was last heard under this term, or else when this leader began to wait for it."""
+    return machine.last_heard if machine.last_heard is not None else machine.known_since
+
+
+@dataclass(slots=True)
+class SilenceCounts:
+    """How many machines of each zone have booted, and how many of those miss reports."""
+
+    last_contact: float = 0.0  # of the machine heard last
+    booted: CountPerZone = field(default_factory=dict)
+    quiet: CountPerZone = field(default_factory=dict)  # silent for ZONE_QUIET_REPORTS report intervals
+    silent: CountPerZone = field(default_factory=dict)  # silent for ZONE_SILENT_REPORTS report intervals
+    any_unresponsive: bool = False
+
+    def leader_is_isolated(self, now: float) -> bool:
+        """Whether no machine at all has been heard for so long that this node may be the one partitioned."""
+        return sum(self.booted.values()) >= 2 and now - self.last_contact > constants.LEADER_ISOLATED_S
+
+
+def count_silence(machines: Iterable[Machine], now: float, report_s: float) -> SilenceCounts:
+    """Count the silent machines per zone, in one pass.
+
+    Machines of an earlier term count too: a new leader that hears none of them is partitioned itself.
+    """
+    counts = SilenceCounts()
+    booted, quiet, silent = counts.booted, counts.quiet, counts.silent
+    quiet_before = now - constants.ZONE_QUIET_REPORTS * report_s
+    silent_before = now - constants.ZONE_SILENT_REPORTS * report_s
+    latest = 0.0
+    for machine in machines:
+        if machine.state is MachineState.BOOTING:
+            continue
+        zone, contact = machine.zone, last_contact(machine)
+        booted[zone] = booted.get(zone, 0) + 1
+        if contact > latest:
+            latest = contact
+        if contact < quiet_before:
+            quiet[zone] = quiet.get(zone, 0) + 1
+            if contact < silent_before:
+                silent[zone] = silent.get(zone, 0) + 1
+        if machine.state is MachineState.UNRESPONSIVE:
+            counts.any_unresponsive = True
+    counts.last_contact = latest
+    return counts
+
+
+class ZoneReachability:
+    """Which zones are unreachable or suspected to be, kept over the cycles of one term."""
+
+    def __init__(self, cluster: ClusterState, workers: Workers) -> None:
+        self.cluster = cluster
+        self.workers = workers
+        self.unreachable_zones: frozenset[str] = frozenset()
+        self.unheard_zones: frozenset[str] = frozenset()
+        self.asymmetric_zones: frozenset[str] = frozenset()
+        self.nothing_heard_yet = False
+        self._suspected_until: dict[str, float] = {}
+        self._unreachable_until: dict[str, float] = {}
+        self._first_update: float | None = None
+
+    def recently_unreachable(self, zone: str, now: float) -> bool:
+        """Whether the zone is unreachable, or was within PARTITION_MEMORY_S."""
+        return now < self._unreachable_until.get(zone, 0.0)
+
+    def suspected(self, zone: str, now: float) -> bool:
+        """Whether most of the zone's machines had missed a report within SUSPICION_MEMORY_S."""
+        return now < self._suspected_until.get(zone, 0.0)
+
+    def update(self, machines: list[Machine], counts: SilenceCounts, now: float) -> None:
+        """Take in one cycle's counts."""
+        self._update_unreachable_zones(counts, now)
+        self._update_unheard_zones(counts.booted, now)
+        self._update_suspected_zones(counts, now)
+        self._update_asymmetric_zones(machines if counts.any_unresponsive else [])
+
+    def _update_unreachable_zones(self, counts: SilenceCounts, now: float) -> None:
+        """Most machines of an unreachable zone are silent.
+
+        When a partition ends, a zone's machines come back one by one. Those still silent were once deleted then, nine
+        machines at a time: the zone is remembered for PARTITION_MEMORY_S.
+        """
+        self.unreachable_zones = frozenset(
+            zone
+            for zone, count in counts.silent.items()
+            if count > max(1.0, constants.ZONE_SILENT_PART * counts.booted[zone])
+        )
+        for zone in self.unreachable_zones:
+            self._unreachable_until[zone] = now + constants.PARTITION_MEMORY_S
+
+    def _update_suspected_zones(self, counts: SilenceCounts, now: float) -> None:
+        """Most machines of a suspected zone have missed a report.
+
+        Before a partition shows, its first machines look like single failures: 29 were once deleted within a second.
+        And after a partition between a leader and all workers the last ones to find another node looked like it.
+        """
+        for zone, count in counts.quiet.items():
+            if count > max(1.0, constants.ZONE_SILENT_PART * counts.booted[zone]):
+                self._suspected_until[zone] = now + constants.SUSPICION_MEMORY_S
+
+    def _update_asymmetric_zones(self, machines: list[Machine]) -> None:
+        """So many machines of an asymmetric zone are unresponsive that this node is probably the one not heard."""
+        alive: CountPerZone = {}
+        unresponsive: CountPerZone = {}
+        for machine in machines:
+            zone = machine.zone
+            if machine.state in (MachineState.UP, MachineState.UNRESPONSIVE):
+                alive[zone] = alive.get(zone, 0) + 1
+                unresponsive[zone] = unresponsive.get(zone, 0) + (machine.state is MachineState.UNRESPONSIVE)
+        self.asymmetric_zones = frozenset(
+            zone
+            for zone, count in unresponsive.items()
+            if count > max(1.0, constants.ASYMMETRIC_PARTITION_SHARE * alive[zone])
+        )
+
+    def _update_unheard_zones(self, booted: CountPerZone, now: float) -> None:
+        """A new leader has received no report from an unheard zone yet.
+
+        A partition shows by silence alone, which a new leader has not seen yet: until a zone's first report, or for as
+        many report intervals as make silence, nothing is rented there. Reports of a live zone come within
+        milliseconds.
+        """
+        if self._first_update is None:
+            self._first_update = now
+        if now - self._first_update > constants.ZONE_SILENT_REPORTS * self.workers.report_s:
+            self.unheard_zones, self.nothing_heard_yet = frozenset(), False
+            return
+        heard = {machine.zone for machine in self.cluster.machines.values() if machine.last_heard is not None}
+        self.unheard_zones = frozenset(zone for zone in booted if zone and zone not in heard)
+        self.nothing_heard_yet = bool(self.unheard_zones) and not heard
