--- a/winglift/policy/failure_detector.py
+++ b/winglift/policy/failure_detector.py
@@ -244,8 +244,8 @@
             age_s = task.job.seconds_since_cancelled(now, wall, self.skew_s)
             if age_s <= cancel_s * constants.CANCEL_DELETE_SHARE:
                 continue
-            last_chance = cancel_s * constants.CANCEL_LAST_SHARE < age_s < cancel_s * constants.CANCEL_OVER_SHARE
-            if awaits_report and not last_chance:
+            is_last_moment = cancel_s * constants.CANCEL_LAST_SHARE < age_s < cancel_s * constants.CANCEL_OVER_SHARE
+            if awaits_report and not is_last_moment:
                 continue
             return f"holds the cancelled {task.name}"
         return None
--- a/winglift/policy/placement_state.py
+++ b/winglift/policy/placement_state.py
@@ -8,7 +8,7 @@
 from .preemption import Preemption
 from .renting import Renting
 from .search import FailedSearches
-from .snapshot import Demand, FreeCapacity, Plan, Snapshot
+from .snapshot import Demand, FreeCapacity, Plan, Snapshot, Victim
 
 
 class PlacementState:
@@ -95,31 +95,19 @@
         team = snapshot.quota.teams.get(spec.team)
         if team is None or spec.priority.rank == 0:
             return
-        mine = []
-        for capacity in self.placement.running:
-            if capacity.preemptible_tasks:
-                capacity.inspect()
-                mine += [
-                    (v, capacity)
-                    for v in capacity.victims
-                    if v.team == spec.team
-                    and v.rank < spec.priority.rank
-                    and v.precedence < demand.precedence
-                    and (v.ref, v.index) not in preemption.stopped
-                ]
-        mine.sort(key=lambda pair: (pair[0].precedence, pair[0].lost_work_s * pair[0].gang_size))
+        candidates = self._lower_work_of_team(demand)
         used, given = snapshot.quota.used[spec.team], self.spent.get(spec.team, (0.0, 0.0))
         gpus = used.gpus + given[1] + spec.gpus * tasks - team.gpus_max if team.gpus_max > 0 else 0.0
         cpus = used.cpus + given[0] + spec.cpus * tasks - team.cpus_max if team.cpus_max > 0 else 0.0
         gpus -= snapshot.stopping_gpus.get(spec.team, 0.0)
         cpus -= snapshot.stopping_cpus.get(spec.team, 0.0)
         if (
-            gpus > sum(v.gpus for v, _ in mine) + AMOUNT_TOLERANCE
-            or cpus > sum(v.cpus for v, _ in mine) + AMOUNT_TOLERANCE
+            gpus > sum(v.gpus for v, _ in candidates) + AMOUNT_TOLERANCE
+            or cpus > sum(v.cpus for v, _ in candidates) + AMOUNT_TOLERANCE
         ):
             return
         self.spend(demand, tasks)
-        for victim, capacity in mine:
+        for victim, capacity in candidates:
             if gpus <= AMOUNT_TOLERANCE and cpus <= AMOUNT_TOLERANCE:
                 return
             if not ((gpus > AMOUNT_TOLERANCE and victim.gpus > 0) or (cpus > AMOUNT_TOLERANCE and victim.cpus > 0)):
@@ -127,3 +115,21 @@
             preemption.stop(victim, capacity, demand)
             gpus -= victim.gpus
             cpus -= victim.cpus
+
+    def _lower_work_of_team(self, demand: Demand) -> list[tuple[Victim, FreeCapacity]]:
+        """The tasks of the demand's team that yield to it, each with its machine, the cheapest to stop first."""
+        spec, preemption = demand.spec, self.placement.preemption
+        found = []
+        for capacity in self.placement.running:
+            if capacity.preemptible_tasks:
+                capacity.inspect()
+                found += [
+                    (victim, capacity)
+                    for victim in capacity.victims
+                    if victim.team == spec.team
+                    and victim.rank < spec.priority.rank
+                    and victim.precedence < demand.precedence
+                    and (victim.ref, victim.index) not in preemption.stopped
+                ]
+        found.sort(key=lambda pair: (pair[0].precedence, pair[0].lost_work_s * pair[0].gang_size))
+        return found
--- a/winglift/policy/plan.py
+++ b/winglift/policy/plan.py
@@ -20,6 +20,17 @@
 from .snapshot import Demand, FreeCapacity, Plan, Snapshot, fetch_s
 from .warm_pool import WarmPool
 
+# Why a job's tasks wait, as logged.
+WAITS_FOR_QUOTA = "team limit"
+WAITS_FOR_STOPS = "preempted tasks are stopping"
+WAITS_FOR_STOPS_BESIDE_IMAGE = "preempted tasks are stopping on machines with its image"
+WAITS_FOR_COMPLETIONS = "running tasks complete soon"
+WAITS_FOR_RELOCATION = "replicas are relocating"
+WAITS_FOR_BOOT = "machines are booting"
+WAITS_FOR_RENTAL = "nothing to rent"
+WAITS_AS_PROBE = "probe without free capacity"
+WAITS_WITHIN_SLACK = "slack"
+
 
 def scheduling_order(demand: Demand) -> tuple[bool, bool, int, float, str]:
     """Earliest sub-deadline first; work that may preempt other work goes before it, or it would stop it next.
@@ -122,7 +133,7 @@
             if better is not None and demand.would_occupy_gpu_machine(better) <= demand.would_occupy_gpu_machine(
                 capacity
             ):
-                self._reserve_until_ready(better, "room is being made")
+                self._reserve_until_ready(better, WAITS_FOR_STOPS)
                 return True
         if capacity is not None:
             self._start_on(capacity)
@@ -130,24 +141,24 @@
             return True
         capacity = self._released_soon("up")
         if capacity is not None:
-            self._reserve_until_ready(capacity, "room is being made")
+            self._reserve_until_ready(capacity, WAITS_FOR_STOPS)
             return True
         if demand.defers_preemption and placement.preemption.may_preempt_somewhere(demand, placement.running):
             # Thousands of short tasks end every minute. Stopping others for what the next ends would give cost some
             # 11 stops a second on a busy day, each a record's change, a save and often a fetch.
-            placement.plan.waiting[demand.ref] = "others' ends"
+            placement.plan.waiting[demand.ref] = WAITS_FOR_COMPLETIONS
             return False
         if not must or demand.is_probe:
-            placement.plan.waiting[demand.ref] = "its next try" if demand.is_probe else "slack"
+            placement.plan.waiting[demand.ref] = WAITS_AS_PROBE if demand.is_probe else WAITS_WITHIN_SLACK
             return False
         capacity = self._search("coming").best(self.placed)
         if capacity is None and placement.snapshot.may_rent:
             capacity = placement.renting.rent(demand, self.placed)
         if capacity is None:
             way = demand.spec.kind is Kind.GANG and relocate_replicas(placement, demand)
-            placement.plan.waiting[demand.ref] = "replicas move out of its way" if way else "nothing to rent"
+            placement.plan.waiting[demand.ref] = WAITS_FOR_RELOCATION if way else WAITS_FOR_RENTAL
             return False
-        self._reserve_until_ready(capacity, "machines are booting")
+        self._reserve_until_ready(capacity, WAITS_FOR_BOOT)
         return True
 
     def run(self, limits: QuotaBudget) -> None:
@@ -162,7 +173,7 @@
                     limits.spend(demand, taken)
                     limits.preempt_within_team(demand, len(demand.indices) - taken)
                     limits.spend(demand, -taken)
-                plan.waiting[demand.ref] = "team limit"
+                plan.waiting[demand.ref] = WAITS_FOR_QUOTA
                 break
             if not self.place(index, must):
                 break
@@ -178,44 +189,58 @@
     if limits.tasks_allowed(demand) < len(demand.indices):
         if not demand.is_probe:
             limits.preempt_within_team(demand, len(demand.indices))
-        plan.waiting[demand.ref] = "team limit"
+        plan.waiting[demand.ref] = WAITS_FOR_QUOTA
         return
-    found = gangs.allocate_all(demand, soon=False)
-    if found is not None and gangs.fetch_too_long(demand, found):
-        gangs.deallocate_all(demand, found)
-        if gangs.preempt(demand, warm=True):
-            plan.waiting[demand.ref] = "room is being made beside its image"
-            limits.spend(demand, len(demand.indices))
-            return
-        found = gangs.allocate_all(demand, soon=False)
-    if found is not None:
-        limits.spend(demand, len(found))
-        plan.starts.append((demand.ref, list(zip(demand.indices, [r.name for r in found], strict=True))))
+    if _start_gang(placement, limits, gangs, demand):
         return
-    soon = gangs.allocate_all(demand, soon=True)
-    if soon is not None:
-        why = "room is being made"
-        if demand.has_reservation:
-            plan.reservations[demand.ref] = sorted({r.name for r in soon})
-    elif gangs.preempt(demand) or (demand.may_displace and gangs.preempt(demand, displace=True)):
-        why = "room is being made"
+    if _preempt_for_gang(placement, gangs, demand):
+        reason = WAITS_FOR_STOPS
     elif not placement.must_start(demand) or demand.is_probe:
-        plan.waiting[demand.ref] = "its next try" if demand.is_probe else "slack"
+        plan.waiting[demand.ref] = WAITS_AS_PROBE if demand.is_probe else WAITS_WITHIN_SLACK
         return
     elif gangs.allocate_all(demand, soon=True, coming=True) is not None or (
         placement.snapshot.may_rent and demand.may_rent and gangs.rent(demand)
     ):
-        why = "machines are booting"
+        reason = WAITS_FOR_BOOT
     elif relocate_replicas(placement, demand):
-        why = "replicas move out of its way"
+        reason = WAITS_FOR_RELOCATION
     else:
-        plan.waiting[demand.ref] = "nothing to rent"
+        plan.waiting[demand.ref] = WAITS_FOR_RENTAL
         return
-    plan.waiting[demand.ref] = why
-    # The room under the team's limit is kept too, or its lower work takes it and is stopped again.
+    plan.waiting[demand.ref] = reason
+    # Its part of the team's limit is kept too, or the team's lower work takes it and is stopped again.
     limits.spend(demand, len(demand.indices))
 
 
+def _start_gang(placement: PlacementState, limits: QuotaBudget, gangs: GangPlacer, demand: Demand) -> bool:
+    """Start a gang on free capacity, or preempt beside its image where the fetch would take long."""
+    plan = placement.plan
+    found = gangs.allocate_all(demand, soon=False)
+    if found is not None and gangs.fetch_too_long(demand, found):
+        gangs.deallocate_all(demand, found)
+        if gangs.preempt(demand, warm=True):
+            plan.waiting[demand.ref] = WAITS_FOR_STOPS_BESIDE_IMAGE
+            limits.spend(demand, len(demand.indices))
+            return True
+        found = gangs.allocate_all(demand, soon=False)
+    if found is None:
+        return False
+    limits.spend(demand, len(found))
+    machines = [capacity.name for capacity in found]
+    plan.starts.append((demand.ref, list(zip(demand.indices, machines, strict=True))))
+    return True
+
+
+def _preempt_for_gang(placement: PlacementState, gangs: GangPlacer, demand: Demand) -> bool:
+    """Reserve what stopping tasks leave for a gang, or stop more tasks for it."""
+    releasing = gangs.allocate_all(demand, soon=True)
+    if releasing is not None:
+        if demand.has_reservation:
+            placement.plan.reservations[demand.ref] = sorted({capacity.name for capacity in releasing})
+        return True
+    return gangs.preempt(demand) or (demand.may_displace and gangs.preempt(demand, displace=True))
+
+
 def consolidate(placement: PlacementState, reserves: WarmPool) -> str | None:
     """The emptiest machine whose replicas would all fit on others that hold their images."""
     snapshot = placement.snapshot
--- a/winglift/policy/preemption.py
+++ b/winglift/policy/preemption.py
@@ -9,6 +9,11 @@
 from ..model.quota import AMOUNT_TOLERANCE, QuotaUsage
 from .snapshot import Demand, FreeCapacity, Plan, Victim, fetch_s, zone_allowed
 
+# What stopping the tasks costs (precedence, seconds lost), the machine's position, a serial number that makes entries
+# distinct, the machine, its version when the entry was made, and the tasks to stop. A plain tuple: it is made for
+# each machine of each search, and compared often.
+PreemptionEntry = tuple[tuple, int, int, FreeCapacity, int, list[Victim]]
+
 
 class Preemption:
     """What has been told to give way in this cycle, and what else could be."""
@@ -113,15 +118,8 @@
 
         With or without frail gangs; with `displace` also owed tasks that would find another place.
         """
-        spec, claim = demand.spec, demand.precedence
-        capacity.inspect()
-        allowed = [
-            v
-            for v in capacity.victims
-            if (frail or not v.loses_gang_start)
-            and (self.yields_to(demand, claim, v) or (displace and self.may_displace(demand, v)))
-        ]
-        allowed.sort(key=lambda v: (v.precedence, v.lost_work_s * v.gang_size))
+        spec = demand.spec
+        allowed = self._preemptible_tasks(demand, capacity, frail, displace)
         cpus = spec.cpus - capacity.cpus - capacity.releasing_cpus
         gpus = spec.gpus - capacity.gpus - capacity.releasing_gpus
         mem = spec.memory_gb - capacity.memory_gb - capacity.releasing_memory_gb
@@ -149,6 +147,19 @@
                 cpus, gpus, mem = cpus + victim.cpus, gpus + victim.gpus, mem + victim.memory_gb
         return chosen
 
+    def _preemptible_tasks(self, demand: Demand, capacity: FreeCapacity, frail: bool, displace: bool) -> list[Victim]:
+        """The tasks on one machine that may be stopped for the demand, the cheapest to stop first."""
+        claim = demand.precedence
+        capacity.inspect()
+        allowed = [
+            victim
+            for victim in capacity.victims
+            if (frail or not victim.loses_gang_start)
+            and (self.yields_to(demand, claim, victim) or (displace and self.may_displace(demand, victim)))
+        ]
+        allowed.sort(key=lambda victim: (victim.precedence, victim.lost_work_s * victim.gang_size))
+        return allowed
+
     def stop(self, victim: Victim, capacity: FreeCapacity, demand: Demand) -> None:
         """Decide that a task is stopped for this need; its room counts as free soon."""
         self.stopped.add((victim.ref, victim.index))
@@ -169,7 +180,7 @@
         self.allow_gang_start_loss = frail
         self.preemption = preemption
         self.demand = demand
-        self._heap: list[tuple[tuple, int, int, FreeCapacity, int, list[Victim]]] = []
+        self._heap: list[PreemptionEntry] = []
         self._entries = 0
         self._order: dict[str, int] = {}
         self.is_empty = True
@@ -183,7 +194,7 @@
         heapify(self._heap)
         self.is_empty = not self._heap
 
-    def _entry(self, capacity: FreeCapacity) -> tuple[tuple, int, int, FreeCapacity, int, list[Victim]] | None:
+    def _entry(self, capacity: FreeCapacity) -> PreemptionEntry | None:
         demand = self.demand
         chosen = self.preemption.victims(demand, capacity, self.allow_gang_start_loss)
         if not chosen:
@@ -204,9 +215,9 @@
     def preempt_cheapest(self, placed: dict[str, int]) -> FreeCapacity | None:
         """Stop what is cheapest to stop; the room it leaves is for the caller to take."""
         while self._heap:
-            _, _, _, capacity, stamp, chosen = heappop(self._heap)
+            _, _, _, capacity, version, chosen = heappop(self._heap)
             # Zones only fill up while a need's tasks are placed: what is closed now stays closed.
-            if stamp != capacity.version or not zone_allowed(self.demand.spec, capacity.zone, placed):
+            if version != capacity.version or not zone_allowed(self.demand.spec, capacity.zone, placed):
                 continue
             for victim in chosen:
                 self.preemption.stop(victim, capacity, self.demand)
--- a/winglift/policy/renting.py
+++ b/winglift/policy/renting.py
@@ -32,8 +32,10 @@
         self.snapshot = snapshot
         self.plan = plan
         self.booting = coming
-        self._had: dict[tuple[str, str | None, bool], bool] = {}
-        self._few = dict(snapshot.boot_probe_allowance)  # where new machines stay dark, few are tried
+        self._availability: dict[tuple[str, str | None, bool], bool] = {}
+        self._probe_allowance = dict(
+            snapshot.boot_probe_allowance
+        )  # in pools whose machines fail to boot, few are tried
         self.all_zones_unreachable = all(
             z in snapshot.unreachable_zones for t in snapshot.types.values() for z in t.zones
         )
@@ -61,10 +63,10 @@
 
     def _available(self, mtype: MachineType, spec: Submission) -> bool:
         key = mtype.name, spec.zone, spec.spot
-        found = self._had.get(key)
+        found = self._availability.get(key)
         if found is None:
             kinds = (False, True) if spec.spot and mtype.spot_price is not None else (False,)
-            found = self._had[key] = any(
+            found = self._availability[key] = any(
                 (mtype.name, zone, spot) not in self.snapshot.capacity_refusals
                 for zone in mtype.zones
                 for spot in kinds
@@ -74,7 +76,7 @@
 
     def _choices(self, demand: Demand, placed: dict[str, int]) -> list[RentalChoice]:
         """What could be rented for one task."""
-        spec, now = demand.spec, self.snapshot.now
+        spec = demand.spec
         found: list[RentalChoice] = []
         # Cheap machines may be refused for now. Dear ones are rented instead only once the deadline asks for it:
         # with a boot ahead, the start is late for a guarantee in any case.
@@ -91,31 +93,39 @@
                     # what would not begin at all takes it: no class is starved for its price.
                     continue
                 for zone in mtype.zones:
-                    if (spec.zone is not None and zone != spec.zone) or not zone_allowed(spec, zone, placed):
-                        continue
-                    if zone in self.snapshot.unreachable_zones and not self.all_zones_unreachable:
-                        # With its machines out of reach a zone looks empty, and all was rented there first.
-                        continue
-                    dark = (mtype.name, zone) in self._few
-                    if (dark and self._few[mtype.name, zone] < 1) or (
-                        mtype.name,
-                        zone,
-                        spot,
-                    ) in self.snapshot.capacity_refusals:
-                        continue
-                    alone = spec.kind is Kind.SERVICE and self.snapshot.without_controller(zone)
-                    key = (
-                        dark,
-                        cost_model.task_price(spec, mtype, spot),
-                        alone,
-                        placed.get(zone, 0),
-                        self.per_zone.get(zone, 0),
-                        zone,
-                        mtype.name,
-                    )
-                    found.append(RentalChoice(now + ready > demand.sub_deadline, ready, key, mtype, zone, spot))
+                    choice = self._choice_in_zone(demand, mtype, zone, spot, ready, placed)
+                    if choice is not None:
+                        found.append(choice)
         return found
 
+    def _choice_in_zone(
+        self, demand: Demand, mtype: MachineType, zone: str, spot: bool, ready: float, placed: dict[str, int]
+    ) -> RentalChoice | None:
+        """The machine of this type in one zone as a choice, or None where it must not be rented now."""
+        spec = demand.spec
+        if (spec.zone is not None and zone != spec.zone) or not zone_allowed(spec, zone, placed):
+            return None
+        if zone in self.snapshot.unreachable_zones and not self.all_zones_unreachable:
+            # With its machines out of reach a zone looks empty, and all was rented there first.
+            return None
+        failing = (mtype.name, zone) in self._probe_allowance
+        if failing and self._probe_allowance[mtype.name, zone] < 1:
+            return None
+        if (mtype.name, zone, spot) in self.snapshot.capacity_refusals:
+            return None
+        without_controller = spec.kind is Kind.SERVICE and self.snapshot.without_controller(zone)
+        key = (
+            failing,
+            cost_model.task_price(spec, mtype, spot),
+            without_controller,
+            placed.get(zone, 0),
+            self.per_zone.get(zone, 0),
+            zone,
+            mtype.name,
+        )
+        late = self.snapshot.now + ready > demand.sub_deadline
+        return RentalChoice(late, ready, key, mtype, zone, spot)
+
     def rent(self, demand: Demand, placed: dict[str, int]) -> FreeCapacity | None:
         """The room of a machine to be rented for one task of this need; None if nothing adequate is to be had."""
         choices = self._choices(demand, placed)
@@ -138,20 +148,20 @@
         )
         self.plan.rentals.append(Rental(mtype.name, zone, best.spot))
         self.per_zone[zone] = self.per_zone.get(zone, 0) + 1
-        if (mtype.name, zone) in self._few:
-            self._few[mtype.name, zone] -= 1
+        if (mtype.name, zone) in self._probe_allowance:
+            self._probe_allowance[mtype.name, zone] -= 1
         self.booting.append(capacity)
         return capacity
 
     def checkpoint(self) -> Mark:
         """The state to return to if a gang finds no place for all its tasks."""
-        return len(self.plan.rentals), len(self.booting), dict(self.per_zone), dict(self._few)
+        return len(self.plan.rentals), len(self.booting), dict(self.per_zone), dict(self._probe_allowance)
 
     def rollback(self, mark: Mark) -> None:
         """Rent nothing of what was decided since the mark."""
         del self.plan.rentals[mark[0] :]
         del self.booting[mark[1] :]
-        self.per_zone, self._few = dict(mark[2]), dict(mark[3])
+        self.per_zone, self._probe_allowance = dict(mark[2]), dict(mark[3])
 
 
 def merge_rentals(rentals: list[Rental]) -> list[Rental]:
--- a/winglift/policy/search.py
+++ b/winglift/policy/search.py
@@ -12,7 +12,11 @@
 from ..wire.users import Kind, Submission
 from .snapshot import Demand, FreeCapacity, fetch_s, zone_allowed
 
-HERE = 6  # place in a preference of what depends on the tasks placed already
+PLACED_POSITION = 6  # position in a preference of the only element that depends on the tasks placed already
+
+# A machine's preference, its position, a serial number that makes entries distinct, the machine, and its version when
+# the entry was made. A plain tuple: it is made for each machine of each search, and compared often.
+SearchEntry = tuple[tuple, int, int, FreeCapacity, int]
 
 
 def preference(demand: Demand, capacity: FreeCapacity, now: float, placed: dict[str, int]) -> tuple:
@@ -48,7 +52,7 @@
         self._now = now
         self._order: dict[str, int] = {}
         self._entries = 0
-        self._heaps: dict[str, list[tuple[tuple, int, int, FreeCapacity, int]]] = {}
+        self._heaps: dict[str, list[SearchEntry]] = {}
         spec = demand.spec
         self._fits = FreeCapacity.fits_after_stops if soon else FreeCapacity.fits
         fitting = [r for r in capacities if self._fits(r, spec)]
@@ -60,7 +64,7 @@
         for heap in self._heaps.values():
             heapify(heap)
 
-    def _entry(self, capacity: FreeCapacity) -> tuple[tuple, int, int, FreeCapacity, int]:
+    def _entry(self, capacity: FreeCapacity) -> SearchEntry:
         self._entries += 1  # no two entries are equal, so rooms themselves are never compared
         return (
             preference(self.demand, capacity, self._now, {}),
@@ -83,18 +87,24 @@
         found_key: tuple | None = None
         for zone, heap in self._heaps.items():
             # An entry of an earlier stamp is void: `changed` has entered the room again.
-            while heap and heap[0][4] != heap[0][3].version:
+            while heap and _is_stale(heap[0]):
                 heappop(heap)
             if not heap or not zone_allowed(spec, zone, placed):
                 continue
-            plain, number, _, capacity, _ = heap[0]
-            here = placed.get(zone, 0) if spec.spread else 0
-            key = (*plain[:HERE], here, *plain[HERE + 1 :], number)
+            unplaced, position, _, capacity, _ = heap[0]
+            in_zone = placed.get(zone, 0) if spec.spread else 0
+            key = (*unplaced[:PLACED_POSITION], in_zone, *unplaced[PLACED_POSITION + 1 :], position)
             if found_key is None or key < found_key:
                 found, found_key = capacity, key
         return found
 
 
+def _is_stale(entry: SearchEntry) -> bool:
+    """Whether the machine has changed since the entry was made."""
+    _, _, _, capacity, version = entry
+    return version != capacity.version
+
+
 class FailedSearches:
     """Sizes for which no room was found in this cycle. Rooms only fill up, so what is as large need not be sought.
 
