--- a/winglift/policy/gangs.py
+++ b/winglift/policy/gangs.py
@@ -29,8 +29,8 @@
             free.setdefault(capacity.zone, 0.0)
         for capacity in self.placement.running:
             free[capacity.zone] = free.get(capacity.zone, 0.0) + capacity.gpus
-        by_room = sorted(free, key=lambda z: (-free[z], z))
-        return list(by_room)
+        by_free_gpus = sorted(free, key=lambda z: (-free[z], z))
+        return list(by_free_gpus)
 
     def _allowed(self, demand: Demand, capacities: list[FreeCapacity]) -> dict[str | None, list[FreeCapacity]]:
         """The rooms that the gang's job allows, per zone, or all under None."""
@@ -40,10 +40,10 @@
                 found.setdefault(capacity.zone if demand.spec.one_zone else None, []).append(capacity)
         return found
 
-    def allocate_all(self, demand: Demand, soon: bool, coming: bool = False) -> list[FreeCapacity] | None:
+    def allocate_all(self, demand: Demand, soon: bool, include_booting: bool = False) -> list[FreeCapacity] | None:
         """Places for all tasks of a gang, taken; or None with nothing taken."""
         placement, spec, tasks = self.placement, demand.spec, len(demand.indices)
-        stage = placement.search_stage(soon, coming)
+        stage = placement.search_stage(soon, include_booting)
         where = (
             "gang",
             demand.ref if demand.has_reservation else "",
@@ -57,7 +57,7 @@
         )
         if placement.failed_searches.known_to_fail(where, spec, tasks):
             return None
-        capacities = placement.running + placement.booting if coming else placement.running
+        capacities = placement.running + placement.booting if include_booting else placement.running
         allowed = self._allowed(demand, [r for r in capacities if (r.fits_after_stops(spec) if soon else r.fits(spec))])
         best: tuple[float, list[FreeCapacity]] | None = None
         for zone in self._zones(demand):
@@ -144,9 +144,9 @@
         preemption, spec, tasks = self.placement.preemption, demand.spec, len(demand.indices)
         # A start that waits for a fetch comes later than one that waits for a stop.
         weight = constants.FETCH_WEIGHT if spec.due_s is None else 1.0
-        rooms_up = self.placement.with_image(spec.image) if warm else self.placement.running
-        might = {r.name for r in preemption.machines_with_enough(demand, rooms_up)}
-        allowed = self._allowed(demand, [r for r in rooms_up if r.name in might or r.fits_after_stops(spec)])
+        running = self.placement.with_image(spec.image) if warm else self.placement.running
+        might = {r.name for r in preemption.machines_with_enough(demand, running)}
+        allowed = self._allowed(demand, [r for r in running if r.name in might or r.fits_after_stops(spec)])
         # Gangs are of few sizes: what one has found out about a machine holds for the next, until its room changes.
         kind = preemption.equivalence_class(demand), spec.gpus, spec.cpus, spec.memory_gb, warm, displace
         kept = self._chosen.setdefault(kind, {})
@@ -186,7 +186,9 @@
     ) -> list[Victim] | None:
         found = kept.get(capacity.name)
         if found is None or found[0] != capacity.version:
-            chosen = self.placement.preemption.victims(demand, capacity, frail=not warm, displace=displace)
+            chosen = self.placement.preemption.victims(
+                demand, capacity, allow_gang_start_loss=not warm, displace=displace
+            )
             found = kept[capacity.name] = capacity.version, chosen
         return found[1]
 
--- a/winglift/policy/placement_state.py
+++ b/winglift/policy/placement_state.py
@@ -1,4 +1,4 @@
-"""What all parts of one cycle share: its rooms, what was decided so far, and what the teams' limits leave."""
+"""The state of one scheduling cycle: the machines' free capacity, the plan so far, and what the teams' limits leave."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class PlacementState:
-    """The rooms of this cycle, and the parts that decide about them."""
+    """The free capacity in this cycle, and the components that allocate it."""
 
     def __init__(self, snapshot: Snapshot) -> None:
         self.snapshot = snapshot
         self.plan = Plan()
         self.capacities = snapshot.capacities
-        self.running = [r for r in self.capacities if r.ready_in <= 0]
+        self.running = [capacity for capacity in self.capacities if capacity.ready_in <= 0]
         self.booting = sorted((r for r in self.capacities if r.ready_in > 0), key=lambda r: r.ready_in)
         self.preemption = Preemption(snapshot.quota, self.plan)
         self.renting = Renting(snapshot, self.plan, self.booting)
@@ -36,7 +36,7 @@
     def with_free_gpus(self, image: str | None, soon: bool) -> list[FreeCapacity]:
         """The machines, or those with an image, that have any GPU free, or soon: on a busy fleet few of many.
 
-        Rooms only fill up while tasks are placed one by one; stops make the list anew.
+        Free capacity only shrinks while tasks are placed one by one; after stops the list is made anew.
         """
         key = image, len(self.plan.stops) if soon else -1
         found = self._with_free_gpus.get(key)
@@ -47,12 +47,12 @@
             ]
         return found
 
-    def search_stage(self, soon: bool, coming: bool) -> tuple[int, int]:
-        """Changes whenever there may be new room of such a sort: by stops, or by rentals."""
-        return (len(self.plan.stops) if soon else -1, len(self.plan.rentals) if coming else -1)
+    def search_stage(self, soon: bool, include_booting: bool) -> tuple[int, int]:
+        """A key that changes whenever stops or rentals may have added free capacity."""
+        return (len(self.plan.stops) if soon else -1, len(self.plan.rentals) if include_booting else -1)
 
     def must_start(self, demand: Demand) -> bool:
-        """May the task wait no longer? Work within its team's guarantee need not wait for others: it lends no slack."""
+        """Whether the task may wait no longer. Work within its team's guarantee has no slack that others could use."""
         return demand.within_guarantee or self.renting.slack_exhausted(demand)
 
 
@@ -64,7 +64,7 @@
         self.spent: dict[str, tuple[float, float]] = {}  # team: amounts already given in this cycle
 
     def tasks_allowed(self, demand: Demand) -> int:
-        """Tasks of this need that its team's limit still allows."""
+        """How many tasks of this demand the team's limit still allows."""
         spec, quota = demand.spec, self.placement.snapshot.quota
         given = self.spent.get(spec.team, (0.0, 0.0))
         team = quota.teams.get(spec.team)
@@ -72,24 +72,24 @@
             return 0
         used = quota.used[spec.team]
         most = 1_000_000
-        for cap, want, has in (
+        for limit, per_task, in_use in (
             (team.cpus_max, spec.cpus, used.cpus + given[0]),
             (team.gpus_max, spec.gpus, used.gpus + given[1]),
         ):
-            if cap > 0 and want > 0:
-                most = min(most, math.floor((cap - has + AMOUNT_TOLERANCE) / want))
+            if limit > 0 and per_task > 0:
+                most = min(most, math.floor((limit - in_use + AMOUNT_TOLERANCE) / per_task))
         return max(0, most)
 
     def spend(self, demand: Demand, tasks: int) -> None:
-        """Count this many tasks of a need against its team's limit for the rest of the cycle."""
+        """Count this many tasks of a demand against its team's limit for the rest of the cycle."""
         cpus, gpus = self.spent.get(demand.spec.team, (0.0, 0.0))
         self.spent[demand.spec.team] = (cpus + demand.spec.cpus * tasks, gpus + demand.spec.gpus * tasks)
 
     def preempt_within_team(self, demand: Demand, tasks: int) -> None:
-        """A team's own work of lower priority gives way when the team's limit leaves no room.
+        """Stop a team's own work of lower priority when the team's limit leaves no quota.
 
-        The room is kept for the work it was made for: freed a task at a time, it was once taken by the team's next
-        small tasks, which were stopped in turn, 600 times in 50 s. What can't suffice is not stopped at all.
+        The quota is reserved for the demand: freed a task at a time, it was once taken by the team's next small tasks,
+        which were stopped in turn, 600 times in 50 s. If stopping all of it would not suffice, nothing is stopped.
         """
         spec, snapshot, preemption = demand.spec, self.placement.snapshot, self.placement.preemption
         team = snapshot.quota.teams.get(spec.team)
@@ -117,7 +117,7 @@
             cpus -= victim.cpus
 
     def _lower_work_of_team(self, demand: Demand) -> list[tuple[Victim, FreeCapacity]]:
-        """The tasks of the demand's team that yield to it, each with its machine, the cheapest to stop first."""
+        """The tasks of the demand's team that it may preempt, each with its machine, the cheapest to stop first."""
         spec, preemption = demand.spec, self.placement.preemption
         found = []
         for capacity in self.placement.running:
--- a/winglift/policy/plan.py
+++ b/winglift/policy/plan.py
@@ -1,13 +1,15 @@
 """One scheduling cycle: which tasks go where, what is stopped for them, what is rented and returned.
 
 A pure function of a snapshot. The order and the search follow EPSM (Rodriguez & Buyya, section 4): ready tasks
-by sub-deadline; machines with the image, then any with room; a task waits a cycle while its slack allows;
-otherwise room on booting machines, otherwise the cheapest adequate rental. Priorities, teams, gangs and zones
+by sub-deadline; machines with the image, then any with free capacity; a task waits a cycle while its slack allows;
+otherwise booting machines, otherwise the cheapest adequate rental. Priorities, teams, gangs and zones
 are winglift's own.
 """
 
 from __future__ import annotations
 
+from typing import Literal
+
 from .. import constants
 from ..wire.users import Kind
 from . import cost_model
@@ -20,6 +22,9 @@
 from .snapshot import Demand, FreeCapacity, Plan, Snapshot, fetch_s
 from .warm_pool import WarmPool
 
+# A group of machines to search: with the job's image, all running, or booting.
+MachineGroup = Literal["warm", "running", "booting"]
+
 # Why a job's tasks wait, as logged.
 WAITS_FOR_QUOTA = "team limit"
 WAITS_FOR_STOPS = "preempted tasks are stopping"
@@ -35,98 +40,101 @@
 def scheduling_order(demand: Demand) -> tuple[bool, bool, int, float, str]:
     """Earliest sub-deadline first; work that may preempt other work goes before it, or it would stop it next.
 
-    Without that, borrowed work took the room that had just been made for a guarantee, again and again.
+    Without that, borrowed work took the capacity that had just been freed for a guarantee, again and again.
     """
     production, within, rank = demand.precedence
     return not production, not within, -rank, demand.sub_deadline, demand.ref
 
 
 class TaskPlacer:
-    """Arrays and services: every task for itself. One object places the tasks of one need."""
+    """Places the tasks of one demand of an array or a service, each task by itself."""
 
     def __init__(self, placement: PlacementState, demand: Demand) -> None:
         self.placement = placement
         self.demand = demand
         self.placed = dict(demand.zones)
         self.starts: list[tuple[int, str]] = []
-        self.promised = 0
-        self._searches: dict[tuple[str, bool], Search] = {}
-        self._all_candidates: dict[str, PreemptionCandidates] = {}
+        self.reserved_count = 0
+        self._searches: dict[tuple[MachineGroup, bool], Search] = {}
+        self._all_candidates: dict[MachineGroup, PreemptionCandidates] = {}
 
-    def _capacities_of(self, which: str) -> list[FreeCapacity]:
+    def _capacities_of(self, group: MachineGroup) -> list[FreeCapacity]:
         placement = self.placement
         return (
             placement.booting
-            if which == "coming"
+            if group == "booting"
             else placement.running
-            if which == "up"
+            if group == "running"
             else placement.with_image(self.demand.spec.image)
         )
 
-    def _belongs_to(self, which: str, capacity: FreeCapacity) -> bool:
-        """Does a room belong to that part of the machines?"""
-        if which == "coming":
+    def _belongs_to(self, group: MachineGroup, capacity: FreeCapacity) -> bool:
+        """Whether a machine belongs to the group."""
+        if group == "booting":
             return capacity.ready_in > 0
-        return capacity.ready_in <= 0 and (which == "up" or self.demand.spec.image in capacity.images)
+        return capacity.ready_in <= 0 and (group == "running" or self.demand.spec.image in capacity.images)
 
-    def _search(self, which: str, soon: bool = False) -> Search:
-        found = self._searches.get((which, soon))
+    def _search(self, group: MachineGroup, soon: bool = False) -> Search:
+        found = self._searches.get((group, soon))
         if found is None:
             placement, spec = self.placement, self.demand.spec
-            where = (which, placement.search_stage(soon, which == "coming"))
-            hopeless = which != "warm" and placement.failed_searches.known_to_fail(where, spec)
-            capacities = () if hopeless else self._capacities_of(which)
-            if capacities and which != "coming" and spec.gpus > 0:
-                capacities = placement.with_free_gpus(spec.image if which == "warm" else None, soon)
+            where = (group, placement.search_stage(soon, group == "booting"))
+            known_to_fail = group != "warm" and placement.failed_searches.known_to_fail(where, spec)
+            capacities = () if known_to_fail else self._capacities_of(group)
+            if capacities and group != "booting" and spec.gpus > 0:
+                capacities = placement.with_free_gpus(spec.image if group == "warm" else None, soon)
             found = Search(self.demand, capacities, placement.snapshot.now, soon)
-            if found.none_fits and not hopeless and which != "warm":
+            if found.none_fits and not known_to_fail and group != "warm":
                 placement.failed_searches.add(where, spec)
-            self._searches[which, soon] = found
+            self._searches[group, soon] = found
         return found
 
-    def _candidates(self, which: str) -> PreemptionCandidates:
-        found = self._all_candidates.get(which)
+    def _candidates(self, group: MachineGroup) -> PreemptionCandidates:
+        found = self._all_candidates.get(group)
         if found is None:
             placement, demand = self.placement, self.demand
-            where = ("offers", placement.preemption.equivalence_class(demand))
-            hopeless = placement.failed_searches.known_to_fail(where, demand.spec)
+            where = ("preemption", placement.preemption.equivalence_class(demand))
+            known_to_fail = placement.failed_searches.known_to_fail(where, demand.spec)
             found = PreemptionCandidates(
-                placement.preemption, demand, () if hopeless else self._capacities_of(which), frail=which == "up"
+                placement.preemption,
+                demand,
+                () if known_to_fail else self._capacities_of(group),
+                allow_gang_start_loss=group == "running",
             )
-            if which == "up" and found.is_empty and not hopeless:
+            if group == "running" and found.is_empty and not known_to_fail:
                 placement.failed_searches.add(where, demand.spec)
-            self._all_candidates[which] = found
+            self._all_candidates[group] = found
         return found
 
     def _start_on(self, capacity: FreeCapacity) -> None:
         capacity.allocate(self.demand.spec)
         self.placed[capacity.zone] = self.placed.get(capacity.zone, 0) + 1
-        for (which, _), search in self._searches.items():
-            if self._belongs_to(which, capacity):
+        for (group, _), search in self._searches.items():
+            if self._belongs_to(group, capacity):
                 search.changed(capacity)
-        for offers in self._all_candidates.values():
-            offers.changed(capacity)
+        for candidates in self._all_candidates.values():
+            candidates.changed(capacity)
 
-    def _reserve_until_ready(self, capacity: FreeCapacity, why: str) -> None:
-        """Keep room for a task that can't start yet, so that later tasks don't count on it too."""
+    def _reserve_until_ready(self, capacity: FreeCapacity, reason: str) -> None:
+        """Allocate capacity to a task that can't start yet, so that later tasks don't count on it too."""
         self._start_on(capacity)
-        self.promised += 1
-        self.placement.plan.waiting[self.demand.ref] = why
+        self.reserved_count += 1
+        self.placement.plan.waiting[self.demand.ref] = reason
 
-    def _released_soon(self, which: str) -> FreeCapacity | None:
-        """Room that stops of this or an earlier cycle leave, or that one more stop would leave."""
-        capacity = self._search(which, soon=True).best(self.placed)
+    def _released_soon(self, group: MachineGroup) -> FreeCapacity | None:
+        """A machine with capacity that stops of this or an earlier cycle release, or that one more preemption does."""
+        capacity = self._search(group, soon=True).best(self.placed)
         if capacity is not None or self.demand.defers_preemption:
             return capacity
-        return self._candidates(which).preempt_cheapest(self.placed)
+        return self._candidates(group).preempt_cheapest(self.placed)
 
     def _fetch_too_long(self, capacity: FreeCapacity) -> bool:
         return self.demand.spec.due_s is None and fetch_s(capacity, self.demand.spec) > constants.FETCH_WORTH_S
 
-    def place(self, index: int, must: bool) -> bool:
-        """One task; or False when the need's other tasks would fare no better."""
+    def place(self, index: int, must_start: bool) -> bool:
+        """Place one task. False if it was not placed and the demand's other tasks would not be either."""
         placement, demand = self.placement, self.demand
-        capacity = self._search("up").best(self.placed)
+        capacity = self._search("running").best(self.placed)
         if capacity is not None and self._fetch_too_long(capacity):
             # Work due now starts sooner where its image is, even if something must stop for it.
             better = self._released_soon("warm")
@@ -139,46 +147,46 @@
             self._start_on(capacity)
             self.starts.append((index, capacity.name))
             return True
-        capacity = self._released_soon("up")
+        capacity = self._released_soon("running")
         if capacity is not None:
             self._reserve_until_ready(capacity, WAITS_FOR_STOPS)
             return True
         if demand.defers_preemption and placement.preemption.may_preempt_somewhere(demand, placement.running):
-            # Thousands of short tasks end every minute. Stopping others for what the next ends would give cost some
+            # Thousands of short tasks end every minute. Preempting others for what completions free next cost some
             # 11 stops a second on a busy day, each a record's change, a save and often a fetch.
             placement.plan.waiting[demand.ref] = WAITS_FOR_COMPLETIONS
             return False
-        if not must or demand.is_probe:
+        if not must_start or demand.is_probe:
             placement.plan.waiting[demand.ref] = WAITS_AS_PROBE if demand.is_probe else WAITS_WITHIN_SLACK
             return False
-        capacity = self._search("coming").best(self.placed)
+        capacity = self._search("booting").best(self.placed)
         if capacity is None and placement.snapshot.may_rent:
             capacity = placement.renting.rent(demand, self.placed)
         if capacity is None:
-            way = demand.spec.kind is Kind.GANG and relocate_replicas(placement, demand)
-            placement.plan.waiting[demand.ref] = WAITS_FOR_RELOCATION if way else WAITS_FOR_RENTAL
+            relocating = demand.spec.kind is Kind.GANG and relocate_replicas(placement, demand)
+            placement.plan.waiting[demand.ref] = WAITS_FOR_RELOCATION if relocating else WAITS_FOR_RENTAL
             return False
         self._reserve_until_ready(capacity, WAITS_FOR_BOOT)
         return True
 
     def run(self, limits: QuotaBudget) -> None:
-        """Place the need's tasks one by one as far as its team's limit and the rooms allow."""
+        """Place the demand's tasks one by one as far as its team's limit and the free capacity allow."""
         demand, plan = self.demand, self.placement.plan
-        room_left = limits.tasks_allowed(demand)
-        must = self.placement.must_start(demand)
+        tasks_allowed = limits.tasks_allowed(demand)
+        must_start = self.placement.must_start(demand)
         for index in demand.indices:
-            taken = len(self.starts) + self.promised
-            if taken >= room_left:
+            taken = len(self.starts) + self.reserved_count
+            if taken >= tasks_allowed:
                 if not demand.is_probe:
                     limits.spend(demand, taken)
                     limits.preempt_within_team(demand, len(demand.indices) - taken)
                     limits.spend(demand, -taken)
                 plan.waiting[demand.ref] = WAITS_FOR_QUOTA
                 break
-            if not self.place(index, must):
+            if not self.place(index, must_start):
                 break
-        # Tasks that wait for promised room keep their part of the team's limit as well.
-        limits.spend(demand, len(self.starts) + self.promised)
+        # Tasks that wait for reserved capacity keep their part of the team's limit as well.
+        limits.spend(demand, len(self.starts) + self.reserved_count)
         if self.starts:
             plan.starts.append((demand.ref, self.starts))
 
@@ -198,7 +206,7 @@
     elif not placement.must_start(demand) or demand.is_probe:
         plan.waiting[demand.ref] = WAITS_AS_PROBE if demand.is_probe else WAITS_WITHIN_SLACK
         return
-    elif gangs.allocate_all(demand, soon=True, coming=True) is not None or (
+    elif gangs.allocate_all(demand, soon=True, include_booting=True) is not None or (
         placement.snapshot.may_rent and demand.may_rent and gangs.rent(demand)
     ):
         reason = WAITS_FOR_BOOT
@@ -250,7 +258,7 @@
     others = [r for r in placement.running if not r.empty]
     tried = 0
     # Few replicas are quickly moved; few images are little lost for later starts.
-    # What stands on a machine that others need more goes first, then what pays most.
+    # Replicas on GPU machines, which others need more, go first, then those whose move saves most.
     for capacity in sorted(
         candidates,
         key=lambda r: (
@@ -280,7 +288,7 @@
 
 
 def restart_near_image(placement: PlacementState) -> None:
-    """Replicas whose fetch drags on start anew beside their image, once there is room there or may be.
+    """Restart replicas with a stalled fetch on machines that hold their image, on free capacity or by preemption.
 
     Images that are fetched at the same time share a machine's rate: a replica once waited 70 s for an image of 12 GB,
     while a machine of its zone came to hold it after 20 s.
@@ -289,7 +297,7 @@
         demand = stalled.demand
         warm = [r for r in placement.with_image(demand.spec.image) if demand.spec.image in r.cached_images]
         capacity = Search(demand, warm, placement.snapshot.now).best(demand.zones) or PreemptionCandidates(
-            placement.preemption, demand, warm, frail=False
+            placement.preemption, demand, warm, allow_gang_start_loss=False
         ).preempt_cheapest(demand.zones)
         if capacity is not None:
             capacity.allocate(demand.spec)
@@ -312,7 +320,7 @@
     reserves = WarmPool(placement)
     for reserve in snapshot.warm_pool_targets:
         reserves.maintain(reserve)
-    # What is held for a job that waits for more machines yet is not idle, however long that takes.
+    # A machine reserved for a job that waits for more machines is not idle, however long that takes.
     placement.plan.idle_machines = {r.name for r in placement.running if r.empty and not r.reserved_for}
     placement.plan.drain = consolidate(placement, reserves)
     return placement.plan
--- a/winglift/policy/preemption.py
+++ b/winglift/policy/preemption.py
@@ -1,4 +1,4 @@
-"""Which work gives way: lower priority, or what another team borrows beyond its guarantee."""
+"""Preemption of tasks of lower priority, and of those that other teams run beyond their guarantees."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Preemption:
-    """What has been told to give way in this cycle, and what else could be."""
+    """The tasks preempted in this cycle, and those that still may be."""
 
     def __init__(self, quota: QuotaUsage, plan: Plan) -> None:
         self.quota = quota
@@ -24,24 +24,25 @@
         self.stopped: set[tuple[str, int]] = set()
         self._borrowers = {name for name in quota.teams if quota.borrows(name)}
 
-    def _may_claim_room(self, demand: Demand) -> bool:
-        """Could another team owe this need room at all?"""
+    def _may_reclaim_lent_capacity(self, demand: Demand) -> bool:
+        """Whether another team may use capacity beyond its guarantee that this demand can reclaim."""
         return demand.within_guarantee and any(name != demand.spec.team for name in self._borrowers)
 
-    def yields_to(self, demand: Demand, claim: tuple[bool, bool, int], victim: Victim) -> bool:
-        """Does a victim give way to a need? `claim` is the need's, which its caller asks for once."""
+    def may_preempt(self, demand: Demand, claim: tuple[bool, bool, int], victim: Victim) -> bool:
+        """Whether a demand may preempt a victim. `claim` is the demand's precedence, computed once by the caller."""
         if not victim.precedence < claim or (victim.ref, victim.index) in self.stopped:
-            # What stands above a need never gives way to it: else two teams stop each other in turn.
+            # A demand never preempts what has precedence over it: else two teams stop each other in turn.
             return False
         return victim.rank < demand.spec.priority.rank or (
             victim.team != demand.spec.team and victim.team in self._borrowers
         )
 
     def may_displace(self, demand: Demand, victim: Victim) -> bool:
-        """May it take the place of owed work, which then finds another at once?
+        """Whether a demand may displace work within a guarantee, which is then placed elsewhere at once.
 
-        Owed work of lower priority stands above a borrowing gang. But one such task on a machine bars all of it from a
-        gang that needs it whole, while as much borrowed work runs elsewhere, of which owed work may take the place.
+        Work within a guarantee has precedence over a borrowing gang, even at lower priority. But one such task bars a
+        whole machine from a gang that demands all of it, while as much borrowed work runs elsewhere, which the
+        displaced work may preempt.
         """
         return (
             demand.may_displace
@@ -53,12 +54,12 @@
             and (victim.ref, victim.index) not in self.stopped
         )
 
-    def replaceable(self, capacities: Iterable[FreeCapacity], but: Iterable[FreeCapacity]) -> float:
-        """GPUs of borrowed work of the lowest priority, on other machines: what displaced work could take over."""
-        skip = {capacity.name for capacity in but}
+    def replaceable(self, capacities: Iterable[FreeCapacity], excluded: Iterable[FreeCapacity]) -> float:
+        """GPUs of borrowed work of the lowest priority on other machines, which displaced work could preempt."""
+        excluded_names = {capacity.name for capacity in excluded}
         found = 0.0
         for capacity in capacities:
-            if capacity.name not in skip and capacity.preemptible_by_rank[0][1] > 0:
+            if capacity.name not in excluded_names and capacity.preemptible_by_rank[0][1] > 0:
                 capacity.inspect()
                 found += sum(
                     v.gpus
@@ -71,34 +72,36 @@
         return found
 
     def cannot_preempt(self, demand: Demand) -> bool:
-        """Nothing anywhere may give way to this need."""
+        """Whether this demand may preempt nothing anywhere."""
         if demand.is_probe:
             return True
-        return demand.spec.priority.rank == 0 and not self._may_claim_room(demand)
+        return demand.spec.priority.rank == 0 and not self._may_reclaim_lent_capacity(demand)
 
     def machines_with_enough(self, demand: Demand, capacities: Iterable[FreeCapacity]) -> list[FreeCapacity]:
-        """Without looking at their tasks: on which are there GPUs enough, if all that may yield did?"""
-        reach = 3 if self._may_claim_room(demand) else demand.spec.priority.rank
-        least = demand.spec.gpus - AMOUNT_TOLERANCE
-        if not reach:
+        """The machines with enough GPUs if all preemptible tasks stopped, without inspecting each task."""
+        rank_limit = 3 if self._may_reclaim_lent_capacity(demand) else demand.spec.priority.rank
+        gpus_min = demand.spec.gpus - AMOUNT_TOLERANCE
+        if not rank_limit:
             return [
-                r for r in capacities if r.preemptible_tasks and r.gpus + r.releasing_gpus >= least and demand.allows(r)
+                r
+                for r in capacities
+                if r.preemptible_tasks and r.gpus + r.releasing_gpus >= gpus_min and demand.allows(r)
             ]
         return [
             r
             for r in capacities
             if r.preemptible_tasks
-            and r.gpus + r.releasing_gpus + r.preemptible_by_rank[reach - 1][1] >= least
+            and r.gpus + r.releasing_gpus + r.preemptible_by_rank[rank_limit - 1][1] >= gpus_min
             and demand.allows(r)
         ]
 
     def may_preempt_somewhere(self, demand: Demand, capacities: Iterable[FreeCapacity]) -> bool:
-        """Without looking at any task: might room be made somewhere?"""
+        """Whether preemption might free enough on some machine, without inspecting any task."""
         return not self.cannot_preempt(demand) and bool(self.machines_with_enough(demand, capacities))
 
     @staticmethod
     def equivalence_class(demand: Demand) -> tuple:
-        """Needs of one kind may stop the same work on the same machines."""
+        """The key of demands that may preempt the same tasks on the same machines."""
         spec = demand.spec
         return (
             spec.priority.rank,
@@ -112,72 +115,80 @@
         )
 
     def victims(
-        self, demand: Demand, capacity: FreeCapacity, frail: bool = True, displace: bool = False
+        self, demand: Demand, capacity: FreeCapacity, allow_gang_start_loss: bool = True, displace: bool = False
     ) -> list[Victim] | None:
-        """The cheapest set of tasks on one machine whose stop makes room, or None.
+        """The cheapest set of tasks on one machine whose stop frees enough for one task, or None.
 
-        With or without frail gangs; with `displace` also owed tasks that would find another place.
+        `allow_gang_start_loss`: also gangs that would lose their start. `displace`: also tasks within a guarantee that
+        would be placed elsewhere.
         """
         spec = demand.spec
-        allowed = self._preemptible_tasks(demand, capacity, frail, displace)
+        allowed = self._preemptible_tasks(demand, capacity, allow_gang_start_loss, displace)
         cpus = spec.cpus - capacity.cpus - capacity.releasing_cpus
         gpus = spec.gpus - capacity.gpus - capacity.releasing_gpus
-        mem = spec.memory_gb - capacity.memory_gb - capacity.releasing_memory_gb
+        memory_gb = spec.memory_gb - capacity.memory_gb - capacity.releasing_memory_gb
         chosen: list[Victim] = []
         for victim in allowed:
-            # What frees nothing of what is lacking is left alone: a guest's small tasks without GPUs, the first in this
-            # order, were stopped for every service that lacked a GPU beside them.
+            # A task that frees nothing of what is missing is not stopped: small tasks without GPUs, the first in this
+            # order, were once stopped for every service that lacked a GPU beside them.
             if (
                 (gpus > AMOUNT_TOLERANCE and victim.gpus > 0)
                 or (cpus > AMOUNT_TOLERANCE and victim.cpus > 0)
-                or (mem > AMOUNT_TOLERANCE and victim.memory_gb > 0)
+                or (memory_gb > AMOUNT_TOLERANCE and victim.memory_gb > 0)
             ):
                 chosen.append(victim)
-                cpus, gpus, mem = cpus - victim.cpus, gpus - victim.gpus, mem - victim.memory_gb
-        if gpus > AMOUNT_TOLERANCE or cpus > AMOUNT_TOLERANCE or mem > AMOUNT_TOLERANCE:
+                cpus, gpus, memory_gb = cpus - victim.cpus, gpus - victim.gpus, memory_gb - victim.memory_gb
+        if gpus > AMOUNT_TOLERANCE or cpus > AMOUNT_TOLERANCE or memory_gb > AMOUNT_TOLERANCE:
             return None
         for victim in list(chosen):
             # A later one may free enough by itself.
             if (
                 gpus + victim.gpus <= AMOUNT_TOLERANCE
                 and cpus + victim.cpus <= AMOUNT_TOLERANCE
-                and mem + victim.memory_gb <= AMOUNT_TOLERANCE
+                and memory_gb + victim.memory_gb <= AMOUNT_TOLERANCE
             ):
                 chosen.remove(victim)
-                cpus, gpus, mem = cpus + victim.cpus, gpus + victim.gpus, mem + victim.memory_gb
+                cpus, gpus, memory_gb = cpus + victim.cpus, gpus + victim.gpus, memory_gb + victim.memory_gb
         return chosen
 
-    def _preemptible_tasks(self, demand: Demand, capacity: FreeCapacity, frail: bool, displace: bool) -> list[Victim]:
+    def _preemptible_tasks(
+        self, demand: Demand, capacity: FreeCapacity, allow_gang_start_loss: bool, displace: bool
+    ) -> list[Victim]:
         """The tasks on one machine that may be stopped for the demand, the cheapest to stop first."""
         claim = demand.precedence
         capacity.inspect()
         allowed = [
             victim
             for victim in capacity.victims
-            if (frail or not victim.loses_gang_start)
-            and (self.yields_to(demand, claim, victim) or (displace and self.may_displace(demand, victim)))
+            if (allow_gang_start_loss or not victim.loses_gang_start)
+            and (self.may_preempt(demand, claim, victim) or (displace and self.may_displace(demand, victim)))
         ]
         allowed.sort(key=lambda victim: (victim.precedence, victim.lost_work_s * victim.gang_size))
         return allowed
 
     def stop(self, victim: Victim, capacity: FreeCapacity, demand: Demand) -> None:
-        """Decide that a task is stopped for this need; its room counts as free soon."""
+        """Stop a task for this demand; its resources count as releasing."""
         self.stopped.add((victim.ref, victim.index))
         self.plan.stops.append((victim.ref, victim.index, demand.ref))
         capacity.release_after_stop(victim)
 
 
 class PreemptionCandidates:
-    """For one need: the machines on which stopping something makes room, cheapest first.
+    """For one demand: the machines on which preemption frees enough for a task, the cheapest first.
 
-    Without `frail`, only what starts again by itself is stopped: to spare a service a fetch of 15 s, whole gangs were
-    once stopped, each time before they had run. A gang of one that has run goes on from its checkpoint.
+    Without `allow_gang_start_loss`, only what starts again by itself is stopped: to spare a service a fetch of 15 s,
+    whole gangs were once stopped, each time before they had run. A gang of one that has run goes on from its
+    checkpoint.
     """
 
     def __init__(
-        self, preemption: Preemption, demand: Demand, capacities: Iterable[FreeCapacity], frail: bool = True
+        self,
+        preemption: Preemption,
+        demand: Demand,
+        capacities: Iterable[FreeCapacity],
+        allow_gang_start_loss: bool = True,
     ) -> None:
-        self.allow_gang_start_loss = frail
+        self.allow_gang_start_loss = allow_gang_start_loss
         self.preemption = preemption
         self.demand = demand
         self._heap: list[PreemptionEntry] = []
@@ -206,17 +217,17 @@
         return cost, self._order[capacity.name], self._entries, capacity, capacity.version, chosen
 
     def changed(self, capacity: FreeCapacity) -> None:
-        """A room has changed: it is put in order again."""
+        """Enter a machine again whose free capacity has changed."""
         if capacity.name in self._order:
             entry = self._entry(capacity)
             if entry is not None:
                 heappush(self._heap, entry)
 
     def preempt_cheapest(self, placed: dict[str, int]) -> FreeCapacity | None:
-        """Stop what is cheapest to stop; the room it leaves is for the caller to take."""
+        """Stop the cheapest set of tasks; the caller allocates what that frees."""
         while self._heap:
             _, _, _, capacity, version, chosen = heappop(self._heap)
-            # Zones only fill up while a need's tasks are placed: what is closed now stays closed.
+            # Zones only fill up while a demand's tasks are placed: one that is not allowed now stays so.
             if version != capacity.version or not zone_allowed(self.demand.spec, capacity.zone, placed):
                 continue
             for victim in chosen:
--- a/winglift/policy/renting.py
+++ b/winglift/policy/renting.py
@@ -28,10 +28,10 @@
 class Renting:
     """Chooses machine types to rent, within what the cloud has refused lately."""
 
-    def __init__(self, snapshot: Snapshot, plan: Plan, coming: list[FreeCapacity]) -> None:
+    def __init__(self, snapshot: Snapshot, plan: Plan, booting: list[FreeCapacity]) -> None:
         self.snapshot = snapshot
         self.plan = plan
-        self.booting = coming
+        self.booting = booting
         self._availability: dict[tuple[str, str | None, bool], bool] = {}
         self._probe_allowance = dict(
             snapshot.boot_probe_allowance
--- a/winglift/policy/search.py
+++ b/winglift/policy/search.py
@@ -1,7 +1,7 @@
-"""The machine search for one job's tasks: machines with the image, then any with room, the cheapest in time.
+"""The machine search for one job's tasks (EPSM, section 4): machines with the image first, then any with free capacity.
 
-All tasks of a job are alike, so the rooms are ordered once per job, and after a task is placed only the room that
-changed is put in order again. What is found is what a look at every room for every task would find.
+All tasks of a job are alike, so the machines are ordered once per job, and after a task is placed only the machine that
+changed is entered again. The result is the same as that of a search of all machines for every task.
 """
 
 from __future__ import annotations
@@ -20,32 +20,35 @@
 
 
 def preference(demand: Demand, capacity: FreeCapacity, now: float, placed: dict[str, int]) -> tuple:
-    """The smaller, the better. On machines that are already paid for, cheap means: of the cheap kind, and filling a
-    machine up, so that others become empty and can be returned."""
+    """The sort key of a machine for a demand: the smallest is the best.
+
+    On machines that are already rented, cheap means spot, and bin packing: the fullest machine first, so that others
+    become empty and can be returned."""
     spec = demand.spec
     fetch = fetch_s(capacity, spec)
-    end = now + capacity.ready_in + fetch + demand.run_s
-    late = end > demand.sub_deadline and spec.due_s is not None
+    finish = now + capacity.ready_in + fetch + demand.run_s
+    late = finish > demand.sub_deadline and spec.due_s is not None
     # Images fetched at the same time share the machine's rate: two fetches of 5 s once took 10 s each.
-    # Replicas go where a node can keep them alive through a cut: in a zone without one a quarter of all once died.
-    alone = capacity.without_controller and spec.kind is Kind.SERVICE
+    # Replicas go where a node can keep them alive through a partition: in a zone without one
+    # a quarter of all once died.
+    without_controller = capacity.without_controller and spec.kind is Kind.SERVICE
     return (
         late,
         capacity.ready_in,
         demand.would_occupy_gpu_machine(capacity),
         1 + capacity.pending_fetches if fetch > 0 else 0,
         capacity.name not in demand.preferred_machines,
-        alone,
+        without_controller,
         placed.get(capacity.zone, 0) if spec.spread else 0,
         spec.spot and not capacity.spot,
         capacity.gpus - spec.gpus,
         capacity.cpus,
-        end,
+        finish,
     )
 
 
 class Search:
-    """The rooms for one need, best first, per zone."""
+    """The machines for one demand, best first, per zone."""
 
     def __init__(self, demand: Demand, capacities: Iterable[FreeCapacity], now: float, soon: bool = False) -> None:
         self.demand = demand
@@ -65,7 +68,7 @@
             heapify(heap)
 
     def _entry(self, capacity: FreeCapacity) -> SearchEntry:
-        self._entries += 1  # no two entries are equal, so rooms themselves are never compared
+        self._entries += 1  # no two entries are equal, so machines themselves are never compared
         return (
             preference(self.demand, capacity, self._now, {}),
             self._order[capacity.name],
@@ -75,18 +78,18 @@
         )
 
     def changed(self, capacity: FreeCapacity) -> None:
-        """A room was taken, given back, is being made or was rented: it finds its place anew."""
+        """Enter a machine again whose free capacity has changed, or that was rented."""
         if self._fits(capacity, self.demand.spec) and self.demand.allows(capacity):
             self._order.setdefault(capacity.name, len(self._order))
             heappush(self._heaps.setdefault(capacity.zone, []), self._entry(capacity))
 
     def best(self, placed: dict[str, int]) -> FreeCapacity | None:
-        """The best room that the zones of the tasks placed so far allow, or None."""
+        """The best machine in a zone that the tasks placed so far allow, or None."""
         spec = self.demand.spec
         found: FreeCapacity | None = None
         found_key: tuple | None = None
         for zone, heap in self._heaps.items():
-            # An entry of an earlier stamp is void: `changed` has entered the room again.
+            # An entry of an earlier version is void: `changed` has entered the machine again.
             while heap and _is_stale(heap[0]):
                 heappop(heap)
             if not heap or not zone_allowed(spec, zone, placed):
@@ -106,21 +109,23 @@
 
 
 class FailedSearches:
-    """Sizes for which no room was found in this cycle. Rooms only fill up, so what is as large need not be sought.
+    """Sizes for which no machine was found in this cycle.
+
+    Free capacity only shrinks, so no machine is searched for a demand that is as large.
 
-    `where` names the rooms; it must change whenever there may be new room among them.
+    `where` identifies the machines searched; it must change whenever their free capacity may have grown.
     """
 
     def __init__(self) -> None:
         self._sizes: dict[Hashable, list[tuple[float, float, float, int]]] = {}
 
     def known_to_fail(self, where: Hashable, spec: Submission, tasks: int = 1) -> bool:
-        """Was a need at most as large sought in these rooms in vain?"""
+        """Whether a search of these machines for a demand at most as large has failed."""
         return any(
             spec.gpus >= gpus and spec.cpus >= cpus and spec.memory_gb >= memory and tasks >= count
             for gpus, cpus, memory, count in self._sizes.get(where, ())
         )
 
     def add(self, where: Hashable, spec: Submission, tasks: int = 1) -> None:
-        """A need of this size found no room among these."""
+        """Record that a demand of this size found no machine among these."""
         self._sizes.setdefault(where, []).append((spec.gpus, spec.cpus, spec.memory_gb, tasks))
