--- a/winglift/policy/cost_model.py
+++ b/winglift/policy/cost_model.py
@@ -1,8 +1,8 @@
-"""What a machine type is to a task: does it fit, what part of it the task takes, what that costs, who else it is for.
+"""Cost model of machine types: whether a task fits, its share of a machine, its price, and which types it prefers.
 
-The paper's types differ in speed and price alone. Where some have GPUs and others none, the whole machine counts: a
-part of a machine is the largest of its parts of CPUs, GPUs and memory, and a task that uses no GPU is a guest on a
-machine that has some, as long as there is a type without any that it fits.
+The types of EPSM (section 4) differ in speed and price alone. Here they differ in GPUs and memory too: a task's share
+of a machine is the largest of its shares of CPUs, GPUs and memory, and a task that uses no GPU prefers types without
+any, as long as there is one that it fits. Prices are per hour, times in seconds.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def task_fits(spec: Submission, mtype: MachineType) -> bool:
-    """Does one task fit on an empty machine of an allowed type?"""
+    """Whether one task fits on an empty machine of this type, and its job allows the type."""
     return (
         (spec.types is None or mtype.name in spec.types)
         and (spec.zone is None or spec.zone in mtype.zones)
@@ -27,12 +27,12 @@
 
 
 def machine_share(spec: Submission, mtype: MachineType) -> float:
-    """The part of a machine that one task takes: of what it takes most."""
+    """The share of a machine that one task takes, of its dominant resource."""
     return max(spec.gpus / mtype.gpus if mtype.gpus else 0.0, spec.cpus / mtype.cpus, spec.memory_gb / mtype.memory_gb)
 
 
 def task_price(spec: Submission, mtype: MachineType, spot: bool) -> float:
-    """What one task's part of such a machine costs, an hour."""
+    """The price per hour of one task's share of such a machine."""
     hourly = mtype.spot_price if spot and mtype.spot_price is not None else mtype.price
     return hourly * machine_share(spec, mtype)
 
@@ -49,12 +49,12 @@
 
 
 def prefers_cpu_machines(spec: Submission, types: Mapping[str, MachineType]) -> bool:
-    """Does it use no GPU, and is there a type without any that it fits?"""
+    """Whether a task uses no GPU, and fits a type without any."""
     return spec.gpus <= 0 and any(t.gpus <= 0 and task_fits(spec, t) for t in types.values())
 
 
 def too_expensive(spec: Submission, mtype: MachineType, types: Iterable[MachineType], spot: bool) -> bool:
-    """Does a task cost so much more there than on the cheapest type of this kind that waiting is better?"""
+    """Whether a task costs so much more there than on the cheapest type of this kind that waiting is better."""
     least = cheapest_type(spec, types, spot)
     return (
         least is not None
--- a/winglift/policy/gangs.py
+++ b/winglift/policy/gangs.py
@@ -1,4 +1,4 @@
-"""Gangs: places for all tasks at once, or for none."""
+"""Gang scheduling: places for all tasks at once, or for none."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from .search import Search
 from .snapshot import Demand, FreeCapacity, Victim, fetch_s
 
-Option = tuple[float, FreeCapacity, list[Victim]]  # what a machine costs, and what must stop there
+# The cost of using a machine (s), the machine, and the tasks to preempt there.
+Option = tuple[float, FreeCapacity, list[Victim]]
 
 
 class GangPlacer:
@@ -18,22 +19,22 @@
     def __init__(self, placement: PlacementState) -> None:
         self.placement = placement
         self._chosen: dict[Hashable, dict[str, tuple[int, list[Victim] | None]]] = {}
-        self._displaced = 0.0  # GPUs of owed work that must find another place in this cycle
+        self._displaced = 0.0  # GPUs of work within guarantees that this cycle displaces
 
     def _zones(self, demand: Demand) -> list[str | None]:
-        """Where the whole gang may go: each zone by itself, the one with most room first, or anywhere."""
+        """Where the whole gang may go: each zone by itself, the one with most free GPUs first, or anywhere (None)."""
         if not demand.spec.one_zone:
             return [None]
-        free = {z: 0.0 for t in self.placement.snapshot.types.values() for z in t.zones}
+        free = {zone: 0.0 for mtype in self.placement.snapshot.types.values() for zone in mtype.zones}
         for capacity in self.placement.booting:
             free.setdefault(capacity.zone, 0.0)
         for capacity in self.placement.running:
             free[capacity.zone] = free.get(capacity.zone, 0.0) + capacity.gpus
-        by_free_gpus = sorted(free, key=lambda z: (-free[z], z))
+        by_free_gpus = sorted(free, key=lambda zone: (-free[zone], zone))
         return list(by_free_gpus)
 
     def _allowed(self, demand: Demand, capacities: list[FreeCapacity]) -> dict[str | None, list[FreeCapacity]]:
-        """The rooms that the gang's job allows, per zone, or all under None."""
+        """The machines that the gang's job allows, per zone, or all under None."""
         found: dict[str | None, list[FreeCapacity]] = {}
         for capacity in capacities:
             if demand.allows(capacity):
@@ -41,7 +42,7 @@
         return found
 
     def allocate_all(self, demand: Demand, soon: bool, include_booting: bool = False) -> list[FreeCapacity] | None:
-        """Places for all tasks of a gang, taken; or None with nothing taken."""
+        """Allocate places for all tasks of a gang, or nothing (None)."""
         placement, spec, tasks = self.placement, demand.spec, len(demand.indices)
         stage = placement.search_stage(soon, include_booting)
         where = (
@@ -67,7 +68,7 @@
             taken = self._allocate_found(demand, Search(demand, candidates, placement.snapshot.now, soon))
             self.deallocate_all(demand, taken)
             if len(taken) == tasks:
-                # It starts once the last task has its image: a zone whose machines hold it comes before a roomier one.
+                # It starts once the last task has its image: a zone whose machines hold it comes before others.
                 slowest = max(fetch_s(r, spec) for r in taken)
                 if best is None or slowest < best[0]:
                     best = slowest, taken
@@ -83,7 +84,7 @@
 
     @staticmethod
     def _allocate_found(demand: Demand, search: Search) -> list[FreeCapacity]:
-        """As many places as there are, up to the gang's size."""
+        """Allocate as many places as there are, up to the gang's size."""
         placed = dict(demand.zones)
         taken: list[FreeCapacity] = []
         for _ in demand.indices:
@@ -97,7 +98,7 @@
         return taken
 
     def fetch_too_long(self, demand: Demand, capacities: list[FreeCapacity]) -> bool:
-        """Would a gang that is due now spend long on fetching its image there? It starts with the last of its tasks."""
+        """Whether a gang that is due now would fetch its image for long there. It starts with the last of its tasks."""
         return demand.spec.due_s is None and max(fetch_s(r, demand.spec) for r in capacities) > constants.FETCH_WORTH_S
 
     def deallocate_all(self, demand: Demand, capacities: list[FreeCapacity]) -> None:
@@ -106,10 +107,10 @@
             capacity.deallocate(demand.spec)
 
     def preempt(self, demand: Demand, warm: bool = False, displace: bool = False) -> bool:
-        """Make room for a whole gang by stopping other work, or stop nothing.
+        """Preempt other work for a whole gang, or nothing.
 
-        `warm`: only beside its image. `displace`: also where owed work must find another place. The machines are kept
-        for the gang until it starts.
+        `warm`: only on machines with its image. `displace`: also work within a guarantee, which is placed elsewhere.
+        The machines are reserved for the gang until it starts.
         """
         preemption, spec, tasks = self.placement.preemption, demand.spec, len(demand.indices)
         where = (
@@ -140,16 +141,16 @@
         return True
 
     def _best_choice(self, demand: Demand, warm: bool, displace: bool) -> list[Option] | None:
-        """The cheapest machines of one zone, one for each task. A gang that fits several on one is found by `rooms`."""
+        """The cheapest machines of one zone, one for each task. Several tasks on one machine: see `allocate_all`."""
         preemption, spec, tasks = self.placement.preemption, demand.spec, len(demand.indices)
         # A start that waits for a fetch comes later than one that waits for a stop.
         weight = constants.FETCH_WEIGHT if spec.due_s is None else 1.0
         running = self.placement.with_image(spec.image) if warm else self.placement.running
-        might = {r.name for r in preemption.machines_with_enough(demand, running)}
-        allowed = self._allowed(demand, [r for r in running if r.name in might or r.fits_after_stops(spec)])
-        # Gangs are of few sizes: what one has found out about a machine holds for the next, until its room changes.
+        preemptible = {r.name for r in preemption.machines_with_enough(demand, running)}
+        allowed = self._allowed(demand, [r for r in running if r.name in preemptible or r.fits_after_stops(spec)])
+        # Gangs are of few sizes: the victims found for one on a machine hold for the next, until the machine changes.
         kind = preemption.equivalence_class(demand), spec.gpus, spec.cpus, spec.memory_gb, warm, displace
-        kept = self._chosen.setdefault(kind, {})
+        victims_by_machine = self._chosen.setdefault(kind, {})
         best: tuple[float, list[Option]] | None = None
         for zone in self._zones(demand):
             capacities = allowed.get(zone, [])
@@ -162,7 +163,11 @@
                     options.append((fetch, capacity, []))
                     continue
                 # To spare a fetch no other gang loses its start.
-                chosen = self._victims(demand, capacity, warm, displace, kept) if capacity.preemptible_tasks else None
+                chosen = (
+                    self._victims(demand, capacity, warm, displace, victims_by_machine)
+                    if capacity.preemptible_tasks
+                    else None
+                )
                 if chosen:
                     cost = sum(
                         v.lost_work_s * v.gang_size + (constants.DISPLACE_S if v.within_guarantee else 0.0)
@@ -182,20 +187,20 @@
         capacity: FreeCapacity,
         warm: bool,
         displace: bool,
-        kept: dict[str, tuple[int, list[Victim] | None]],
+        victims_by_machine: dict[str, tuple[int, list[Victim] | None]],
     ) -> list[Victim] | None:
-        found = kept.get(capacity.name)
+        found = victims_by_machine.get(capacity.name)
         if found is None or found[0] != capacity.version:
             chosen = self.placement.preemption.victims(
                 demand, capacity, allow_gang_start_loss=not warm, displace=displace
             )
-            found = kept[capacity.name] = capacity.version, chosen
+            found = victims_by_machine[capacity.name] = capacity.version, chosen
         return found[1]
 
     def rent(self, demand: Demand) -> bool:
-        """Rent what a gang lacks in the zone where it lacks least."""
+        """Rent the missing machines of a gang in the zone where fewest are missing."""
         placement, spec = self.placement, demand.spec
-        mark = placement.renting.checkpoint()
+        checkpoint = placement.renting.checkpoint()
         known = placement.running + placement.booting
         allowed = self._allowed(demand, [r for r in known if r.fits_after_stops(spec)])
         zones = sorted(self._zones(demand), key=lambda z: (-len(allowed.get(z, [])), z or ""))
@@ -217,5 +222,5 @@
             if len(taken) == len(demand.indices):
                 return True
             self.deallocate_all(demand, taken)
-            placement.renting.rollback(mark)
+            placement.renting.rollback(checkpoint)
         return False
--- a/winglift/policy/plan.py
+++ b/winglift/policy/plan.py
@@ -249,7 +249,7 @@
     return gangs.preempt(demand) or (demand.may_displace and gangs.preempt(demand, displace=True))
 
 
-def consolidate(placement: PlacementState, reserves: WarmPool) -> str | None:
+def consolidate(placement: PlacementState, warm_pool: WarmPool) -> str | None:
     """The emptiest machine whose replicas would all fit on others that hold their images."""
     snapshot = placement.snapshot
     if not snapshot.may_migrate or placement.plan.waiting or placement.plan.rentals or placement.booting:
@@ -277,7 +277,7 @@
         taken = allocate_elsewhere(
             placement, capacity, capacity.movable_replicas, [r for r in others if r.spot == capacity.spot], warm=True
         )
-        fits = len(taken) == len(capacity.movable_replicas) and reserves.covered_by(
+        fits = len(taken) == len(capacity.movable_replicas) and warm_pool.covered_by(
             r for r in others if r is not capacity
         )
         for replica, target in taken:
@@ -317,10 +317,10 @@
         else:
             TaskPlacer(placement, demand).run(limits)
     restart_near_image(placement)
-    reserves = WarmPool(placement)
-    for reserve in snapshot.warm_pool_targets:
-        reserves.maintain(reserve)
+    warm_pool = WarmPool(placement)
+    for target in snapshot.warm_pool_targets:
+        warm_pool.maintain(target)
     # A machine reserved for a job that waits for more machines is not idle, however long that takes.
     placement.plan.idle_machines = {r.name for r in placement.running if r.empty and not r.reserved_for}
-    placement.plan.drain = consolidate(placement, reserves)
+    placement.plan.drain = consolidate(placement, warm_pool)
     return placement.plan
--- a/winglift/policy/renting.py
+++ b/winglift/policy/renting.py
@@ -1,4 +1,7 @@
-"""Which machine type is rented where: the cheapest that meets the sub-deadline counting its boot, or the fastest."""
+"""Scale-out: which machine type is rented where (EPSM, section 4).
+
+The cheapest type that meets the sub-deadline, its boot included, or else the fastest.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +13,13 @@
 from . import cost_model
 from .snapshot import Demand, FreeCapacity, Plan, Rental, Snapshot, zone_allowed
 
-Mark = tuple[int, int, dict[str, int], dict[tuple[str, str], int]]
+# Numbers of rentals and of booting machines, machines per zone, and the remaining probe allowance.
+Checkpoint = tuple[int, int, dict[str, int], dict[tuple[str, str], int]]
 
 
 @dataclass(frozen=True, slots=True)
 class RentalChoice:
-    """One type, zone and kind that a task could be rented a machine of."""
+    """A machine that could be rented for a task: type, zone and kind (spot or ordinary)."""
 
     late: bool  # it would miss its sub-deadline there
     ready_s: float  # boot, fetch and run time
@@ -44,9 +48,11 @@
             self.per_zone[capacity.zone] = self.per_zone.get(capacity.zone, 0) + 1
 
     def slack_exhausted(self, demand: Demand) -> bool:
-        """Remaining time minus boot, fetch and run time minus a cycle (the slack wait).
+        """Whether the task may wait no longer (EPSM, section 4).
+
+        Its slack is the remaining time minus boot, fetch and run time and one cycle.
 
-        Boot and fetch are those of the cheapest type for this task, of those that are to be had now if there are any.
+        Boot and fetch are those of the cheapest type for this task, of those available now if there are any.
         """
         spec = demand.spec
         if spec.due_s is None:
@@ -75,10 +81,10 @@
         return found
 
     def _choices(self, demand: Demand, placed: dict[str, int]) -> list[RentalChoice]:
-        """What could be rented for one task."""
+        """The machines that could be rented for one task."""
         spec = demand.spec
         found: list[RentalChoice] = []
-        # Cheap machines may be refused for now. Dear ones are rented instead only once the deadline asks for it:
+        # Spot machines may be refused for now. Ordinary ones are rented instead only once the deadline requires it:
         # with a boot ahead, the start is late for a guarantee in any case.
         kinds = (False,) if not spec.spot else (True, False) if self.slack_exhausted(demand) else (True,)
         types = self.snapshot.types.values()
@@ -89,8 +95,8 @@
             ready = cost_model.ready_s(spec, mtype) + demand.run_s
             for spot in kinds if mtype.spot_price is not None else (False,):
                 if may_wait and cost_model.too_expensive(spec, mtype, types, spot):
-                    # What is paid for anyway serves all; but none is rented that costs more than being late does. Only
-                    # what would not begin at all takes it: no class is starved for its price.
+                    # What is rented already serves all; but none is rented that costs more than being late does. Only
+                    # work that would not begin at all takes it: no class is starved for its price.
                     continue
                 for zone in mtype.zones:
                     choice = self._choice_in_zone(demand, mtype, zone, spot, ready, placed)
@@ -106,7 +112,7 @@
         if (spec.zone is not None and zone != spec.zone) or not zone_allowed(spec, zone, placed):
             return None
         if zone in self.snapshot.unreachable_zones and not self.all_zones_unreachable:
-            # With its machines out of reach a zone looks empty, and all was rented there first.
+            # An unreachable zone seems empty, and everything was once rented there first.
             return None
         failing = (mtype.name, zone) in self._probe_allowance
         if failing and self._probe_allowance[mtype.name, zone] < 1:
@@ -127,13 +133,13 @@
         return RentalChoice(late, ready, key, mtype, zone, spot)
 
     def rent(self, demand: Demand, placed: dict[str, int]) -> FreeCapacity | None:
-        """The room of a machine to be rented for one task of this need; None if nothing adequate is to be had."""
+        """Rent a machine for one task of this demand; None if nothing adequate is available."""
         choices = self._choices(demand, placed)
         if not choices:
             return None
         # The cheapest that meets the sub-deadline; or else the fastest, or the cheapest of those about as fast.
-        soon = min(x.ready_s for x in choices) * constants.SIMILAR_LATENESS
-        best = min(choices, key=lambda x: (x.late, x.late and x.ready_s > soon, x.key))
+        similar_s = min(choice.ready_s for choice in choices) * constants.SIMILAR_LATENESS
+        best = min(choices, key=lambda choice: (choice.late, choice.late and choice.ready_s > similar_s, choice.key))
         mtype, zone = best.type, best.zone
         capacity = FreeCapacity(
             f"new-{len(self.plan.rentals)}",
@@ -153,19 +159,20 @@
         self.booting.append(capacity)
         return capacity
 
-    def checkpoint(self) -> Mark:
+    def checkpoint(self) -> Checkpoint:
         """The state to return to if a gang finds no place for all its tasks."""
         return len(self.plan.rentals), len(self.booting), dict(self.per_zone), dict(self._probe_allowance)
 
-    def rollback(self, mark: Mark) -> None:
-        """Rent nothing of what was decided since the mark."""
-        del self.plan.rentals[mark[0] :]
-        del self.booting[mark[1] :]
-        self.per_zone, self._probe_allowance = dict(mark[2]), dict(mark[3])
+    def rollback(self, checkpoint: Checkpoint) -> None:
+        """Undo the rentals decided since the checkpoint."""
+        rental_count, booting_count, per_zone, probe_allowance = checkpoint
+        del self.plan.rentals[rental_count:]
+        del self.booting[booting_count:]
+        self.per_zone, self._probe_allowance = dict(per_zone), dict(probe_allowance)
 
 
 def merge_rentals(rentals: list[Rental]) -> list[Rental]:
-    """One request for what is of one type, zone and kind."""
+    """Merge rentals of one type, zone and kind into one request."""
     merged: dict[tuple[str, str, bool], Rental] = {}
     for rental in rentals:
         key = (rental.type, rental.zone, rental.spot)
--- a/winglift/policy/replica_relocation.py
+++ b/winglift/policy/replica_relocation.py
@@ -1,8 +1,8 @@
-"""Replicas that stand on machines which other work needs, and move off them.
+"""Relocation of replicas off machines that other work requires.
 
-A replica without GPUs goes to a machine that has some only where there is no other room. There it would bar a gang
-that fits nowhere else for as long as it runs, since nothing may stop it. So it moves, once there is room
-elsewhere: a move is not a preemption, and its service goes on with the others meanwhile.
+A replica without GPUs goes to a machine that has some only where there is no other. There it would bar a gang
+that fits nowhere else for as long as it runs, since it is never preempted. So it moves, once there is capacity
+elsewhere: a relocation is not a preemption, and its service goes on with the others meanwhile.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 
 def _fits_without(capacity: FreeCapacity, spec: Submission, replicas: list[MovableReplica]) -> bool:
-    """Would a task fit there without these replicas, and once what yields to it has stopped?"""
-    gives = [v for v in capacity.victims if v.rank < spec.priority.rank]
+    """Whether a task would fit there without these replicas, and once the tasks it may preempt have stopped."""
+    preemptible = [v for v in capacity.victims if v.rank < spec.priority.rank]
     return (
         capacity.cpus
         + capacity.releasing_cpus
-        + sum(v.cpus for v in gives)
+        + sum(v.cpus for v in preemptible)
         + sum(m.spec.cpus for m in replicas)
         + AMOUNT_TOLERANCE
         >= spec.cpus
-        and capacity.gpus + capacity.releasing_gpus + sum(v.gpus for v in gives) + AMOUNT_TOLERANCE >= spec.gpus
+        and capacity.gpus + capacity.releasing_gpus + sum(v.gpus for v in preemptible) + AMOUNT_TOLERANCE >= spec.gpus
         and capacity.memory_gb
         + capacity.releasing_memory_gb
-        + sum(v.memory_gb for v in gives)
+        + sum(v.memory_gb for v in preemptible)
         + sum(m.spec.memory_gb for m in replicas)
         + AMOUNT_TOLERANCE
         >= spec.memory_gb
@@ -36,12 +36,12 @@
 
 
 def relocate_replicas(placement: PlacementState, demand: Demand) -> bool:
-    """Move replicas off the machine that needs the fewest moves for one task of a need that found no room.
+    """Move replicas off the machine that requires the fewest moves for one task of an unplaced demand.
 
-    Nothing is moved that finds no place elsewhere now, or where not all of them would make room.
+    A replica is moved only if it fits elsewhere now, and only if all moves together free enough.
     """
     if all(t.gpus > 0 for t in placement.snapshot.types.values()):
-        return False  # nobody is a guest anywhere: 645 machines need not be looked at for each gang that waits
+        return False  # no type without GPUs to relocate to: spares a pass over 645 machines for each gang that waits
     best: tuple[int, FreeCapacity, list[tuple[MovableReplica, FreeCapacity]]] | None = None
     for capacity in placement.running:
         if (
@@ -82,14 +82,16 @@
     capacities: list[FreeCapacity],
     warm: bool,
 ) -> list[tuple[MovableReplica, FreeCapacity]]:
-    """Places for a machine's replicas among these rooms, taken as far as there are any: the caller gives them back.
+    """Allocate places for a machine's replicas on other machines, as far as there are any; the caller deallocates them.
 
-    `warm`: only beside their images.
+    `warm`: only on machines that hold or fetch their images.
     """
     taken: list[tuple[MovableReplica, FreeCapacity]] = []
     for replica in replicas:
-        plain = cost_model.prefers_cpu_machines(replica.spec, placement.snapshot.types)
-        demand = Demand(replica.ref, replica.spec, [], placement.snapshot.now, 0.0, {}, prefers_cpu_machines=plain)
+        prefers_cpu_machines = cost_model.prefers_cpu_machines(replica.spec, placement.snapshot.types)
+        demand = Demand(
+            replica.ref, replica.spec, [], placement.snapshot.now, 0.0, {}, prefers_cpu_machines=prefers_cpu_machines
+        )
         placed = {z: n - (z == capacity.zone) for z, n in replica.zones.items()}
         target = Search(
             demand,
--- a/winglift/policy/reservation.py
+++ b/winglift/policy/reservation.py
@@ -1,9 +1,9 @@
-"""Room kept together for the largest job that has waited for long.
+"""Reservation of machines for the largest job that has waited for long.
 
-Small jobs take each place as it becomes free, and on a full platform one that needs whole machines, or many at once,
-never sees them free together. From a share of the users' four minutes on, the machines that are nearest to holding it
-take nothing else of its priority or below, until it begins. One job at a time, and for a limited time at once, so that
-nobody else starves for it.
+Small jobs take capacity as it becomes free, and on a full platform a job that demands whole machines, or many at once,
+never finds them free together. From a share of the start objective (four minutes) on, the machines that lack least for
+it take nothing else of its priority or below, until it begins. One job at a time, and for a limited time, so that no
+other job is starved.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def _missing_share(demand: Demand, capacity: FreeCapacity) -> float:
-    """The largest part of the machine that must become free yet."""
+    """The largest share of the machine that must still become free for one task."""
     spec, mtype = demand.spec, capacity.type
     return max(
         0.0,
@@ -32,28 +32,33 @@
 
 
 def largest_overdue(demands: list[Demand]) -> Demand | None:
-    """The job that room is kept for: of those that have waited for long the largest, of equals the first. The replicas
-    of a service go before all else anyhow."""
+    """The job to reserve machines for: the largest of those that have waited for long, of equals the first.
+
+    The replicas of a service are placed before all else anyhow.
+    """
     late = (n for n in demands if n.start_overdue and n.spec.kind is not Kind.SERVICE)
     return max(late, key=lambda n: (_demand_size(n), n.waited_s, n.ref), default=None)
 
 
 def reservation_paused(demand: Demand) -> bool:
-    """Is it the others' turn? No job may wait for 90 s beside room: what was not filled in time goes to whoever waits,
-    and is then kept together anew."""
+    """Whether the reservation is paused for other jobs.
+
+    No job may wait for 90 s while reserved capacity is free: what was not used in time goes to any demand, and is then
+    reserved anew.
+    """
     held_s = demand.waited_s - constants.START_DEADLINE_S * constants.RESERVATION_AFTER_SHARE
     return held_s % (constants.RESERVATION_MAX_S + constants.RESERVATION_PAUSE_S) >= constants.RESERVATION_MAX_S
 
 
 def reserve_for_largest(placement: PlacementState) -> None:
-    """Keep the machines nearest to holding the largest job that waits, if there is one and it could fit."""
+    """Reserve the machines that lack least for the largest overdue job, if there is one and it could fit."""
     demand = largest_overdue(placement.snapshot.demands)
     if demand is None or reservation_paused(demand):
         return
     tasks = len(demand.indices) if demand.spec.kind is Kind.GANG else 1
     zones: dict[str, list[FreeCapacity]] = {}
     for capacity in placement.running:
-        # Where replicas stand that nothing may stop, it never becomes free.
+        # Replicas are never preempted: what they use does not become free.
         fixed = capacity.replica_count > 0 and _missing_share(demand, capacity) > 0
         if demand.allows(capacity) and not fixed and cost_model.task_fits(demand.spec, capacity.type):
             zones.setdefault(capacity.zone if demand.spec.one_zone else "", []).append(capacity)
--- a/winglift/policy/search.py
+++ b/winglift/policy/search.py
@@ -23,7 +23,8 @@
     """The sort key of a machine for a demand: the smallest is the best.
 
     On machines that are already rented, cheap means spot, and bin packing: the fullest machine first, so that others
-    become empty and can be returned."""
+    become empty and can be returned.
+    """
     spec = demand.spec
     fetch = fetch_s(capacity, spec)
     finish = now + capacity.ready_in + fetch + demand.run_s
--- a/winglift/policy/snapshot.py
+++ b/winglift/policy/snapshot.py
@@ -1,4 +1,4 @@
-"""What one scheduling cycle sees and what it decides: plain data, no I/O, no clock."""
+"""Input and output of one scheduling cycle: free capacity, demands, and the plan. Plain data, no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 def precedence(priority: Priority, within: bool) -> tuple[bool, bool, int]:
-    """What stands above what: production first, then what is within its team's guarantee, then priority.
+    """The order of work: production first, then what is within its team's guarantee, then priority.
 
-    One order says both who chooses first and who may stop whom. When there were two (priority for the one, guarantees
-    for the other), a borrowing gang took what was free before owed work of lower priority, which then stopped it: one
-    gang was started 75 times in 250 s, and hardly anything else got done.
+    One order decides both which demand is placed first and which work may preempt which. When there were two (priority
+    for the one, guarantees for the other), a borrowing gang took free capacity before work of lower priority within a
+    guarantee, which then stopped it: one gang was started 75 times in 250 s, and hardly anything else got done.
     """
     return priority is Priority.PRODUCTION, within, priority.rank
 
 
 @dataclass(slots=True)
 class Victim:
-    """A task that might be stopped to make room."""
+    """A task that might be preempted."""
 
     ref: str
     index: int
@@ -39,7 +39,7 @@
     gang_size: int  # tasks that stop with it
     within_guarantee: bool = False  # its job is within its team's guarantee
     loses_gang_start: bool = False  # of a gang that would lose its start: it has several tasks, or hardly ran
-    rank: int = field(init=False)  # both are asked for far more often than a victim is made
+    rank: int = field(init=False)  # both are read far more often than a victim is made
     precedence: tuple[bool, bool, int] = field(init=False)
 
     def __post_init__(self) -> None:
@@ -60,9 +60,9 @@
 
 @dataclass(slots=True, eq=False)
 class FreeCapacity:
-    """What is free on one machine, existing, booting or to be rented.
+    """The free capacity of one machine, existing, booting or to be rented; CPUs, GPUs and GB of memory.
 
-    What runs there is looked at only when something might be stopped or moved: `source` tells it then. At 515 machines,
+    What runs there is listed by `inspector` only when something might be stopped or moved. At 515 machines,
     listing every task of every machine in every cycle once took longer than the cycle itself.
     """
 
@@ -80,26 +80,25 @@
     pending_fetches: int = 0  # images on their way to it, which share its rate
     empty: bool = False
     movable_replicas: list[MovableReplica] = field(default_factory=list)
-    replica_count: int = 0  # movers, known without looking
+    replica_count: int = 0  # number of movable replicas, known without inspection
     pinned_tasks: int = 0  # tasks on it that can't be moved
-    preemptible_tasks: int = -1  # victims, known without looking; -1: those that are listed
+    preemptible_tasks: int = -1  # number of victims, known without inspection; -1: those that are listed
     preemptible_by_rank: tuple[Resources, Resources, Resources] = (
         NO_RESOURCES,
         NO_RESOURCES,
         NO_RESOURCES,
     )  # of victims of rank 0, up to 1 and up to 2
     inspector: Callable[[], tuple[list[Victim], list[MovableReplica]]] | None = None
-    releasing_cpus: float = 0.0  # room of tasks being stopped
+    releasing_cpus: float = 0.0  # resources of tasks being stopped
     releasing_gpus: float = 0.0
     releasing_memory_gb: float = 0.0
-    without_controller: bool = False  # its zone has no node: once that is cut off, what runs there dies with its lease
-    reserved_for: str = (
-        ""  # the gang for which its room is being made: only work of higher priority takes of it meanwhile
-    )
+    without_controller: bool = False  # its zone has no node: in a partition, what runs there dies with its lease
+    # The job it is reserved for: only work of higher priority is placed on it meanwhile.
+    reserved_for: str = ""
     reserved_rank: int = 0  # its priority
-    version: int = 0  # changes whenever its room does
-    inspected: bool = False  # `source` was asked
-    modified: bool = False  # it is no longer what it was made as, but for a look: the next cycle makes it so again
+    version: int = 0  # changes whenever its free capacity does
+    inspected: bool = False  # `inspector` was called
+    modified: bool = False  # changed since the cycle began, other than by inspection: the next cycle resets it
 
     def __post_init__(self) -> None:
         if self.preemptible_tasks < 0:
@@ -116,36 +115,36 @@
         return sum(v.cpus for v in found), sum(v.gpus for v in found), sum(v.memory_gb for v in found)
 
     def inspect(self) -> None:
-        """Fill in the tasks that could be stopped or moved; only few rooms of a cycle need it."""
+        """Fill in the tasks that could be stopped or moved; only few machines of a cycle need it."""
         if self.inspector is not None and not self.inspected:
             self.inspected = True
             self.victims, self.movable_replicas = self.inspector()
 
     def discard_inspection(self) -> None:
-        """What a look has shown holds for one cycle."""
+        """Forget the result of an inspection: it holds for one cycle."""
         if self.inspected:
             self.victims, self.movable_replicas, self.inspected = [], [], False
 
     def reset(self, cpus: float, gpus: float, memory_gb: float, soon: Resources) -> None:
-        """What is free at the beginning of a cycle, and what will be once its stops are through; nobody holds it."""
+        """Set what is free at the beginning of a cycle, and what will be after its stops; nothing is reserved."""
         self.cpus, self.gpus, self.memory_gb = cpus, gpus, memory_gb
         self.releasing_cpus, self.releasing_gpus, self.releasing_memory_gb = soon
         self.reserved_for, self.reserved_rank, self.version, self.modified = "", 0, 0, False
 
     def preemptible_below(self, rank: int) -> Resources:
-        """What would become free if all its victims below this rank stopped: without a look at each of them."""
+        """What would become free if all its victims below this rank stopped, without inspecting each of them."""
         return self.preemptible_by_rank[rank - 1] if rank > 0 else NO_RESOURCES
 
     def reserve(self, ref: str, rank: int) -> None:
-        """Only work of higher priority takes of it from now on, and that job."""
+        """Reserve the machine for a job: only that job and work of higher priority are placed on it from now on."""
         self.reserved_for, self.reserved_rank, self.modified = ref, rank, True
 
     def keep_warm(self) -> None:
-        """Empty, but not idle."""
+        """Count the machine as part of the warm pool: empty, but not idle."""
         self.empty, self.modified = False, True
 
     def fits(self, spec: Submission) -> bool:
-        """Is there room for one task now?"""
+        """Whether one task fits now."""
         return (
             spec.gpus <= self.gpus + AMOUNT_TOLERANCE
             and spec.cpus <= self.cpus + AMOUNT_TOLERANCE
@@ -153,7 +152,7 @@
         )
 
     def fits_after_stops(self, spec: Submission) -> bool:
-        """Is there room for one task once the stops under way are through?"""
+        """Whether one task fits once the stops under way are complete."""
         return (
             spec.gpus <= self.gpus + self.releasing_gpus + AMOUNT_TOLERANCE
             and spec.cpus <= self.cpus + self.releasing_cpus + AMOUNT_TOLERANCE
@@ -161,7 +160,7 @@
         )
 
     def slots(self, spec: Submission, soon: bool) -> int:
-        """Tasks of this size that fit."""
+        """How many tasks of this size fit."""
         most = 1_000_000
         if spec.gpus > 0:
             most = int((self.gpus + (self.releasing_gpus if soon else 0.0) + AMOUNT_TOLERANCE) / spec.gpus)
@@ -175,7 +174,7 @@
         return max(0, most)
 
     def allocate(self, spec: Submission) -> None:
-        """A task is placed here."""
+        """Place a task here."""
         self.cpus -= spec.cpus
         self.gpus -= spec.gpus
         self.memory_gb -= spec.memory_gb
@@ -184,7 +183,7 @@
         self.modified = True
 
     def deallocate(self, spec: Submission) -> None:
-        """A task that was placed here in this cycle is taken back."""
+        """Take back a task that was placed here in this cycle."""
         self.cpus += spec.cpus
         self.gpus += spec.gpus
         self.memory_gb += spec.memory_gb
@@ -192,7 +191,7 @@
         self.modified = True
 
     def release_after_stop(self, victim: Victim) -> None:
-        """A task on it is about to be stopped."""
+        """Count the resources of a task that is about to be stopped as releasing."""
         self.releasing_cpus += victim.cpus
         self.releasing_gpus += victim.gpus
         self.releasing_memory_gb += victim.memory_gb
@@ -200,7 +199,7 @@
         self.modified = True
 
     def allowed(self, spec: Submission) -> bool:
-        """Does the job allow this type, zone and kind of machine?"""
+        """Whether the job allows this type, zone and kind (spot or ordinary) of machine."""
         return (
             (spec.spot or not self.spot)
             and (spec.zone is None or spec.zone == self.zone)
@@ -221,31 +220,27 @@
     within_guarantee: bool = False  # within its team's guarantee
     may_rent: bool = True  # a gang that has not come together for long rents only now and then
     avoided_machines: frozenset[str] = frozenset()  # machines on which it has failed
-    defers_preemption: bool = (
-        False  # it waits for so short a time that nothing is stopped for it yet: others end by themselves
-    )
-    is_probe: bool = False  # it looks mistaken: it may use what is free, and nothing is stopped or rented for it
+    # It has waited for so short a time that nothing is preempted for it yet: other tasks complete by themselves.
+    defers_preemption: bool = False
+    is_probe: bool = False  # the job seems faulty: it may use free capacity, and nothing is preempted or rented for it
     waited_s: float = 0.0  # since its acceptance, or since its last attempt ended
-    has_reservation: bool = False  # room is kept for it
-    is_speculative: bool = False  # nobody waits for it: room for what may come
-    preferred_machines: frozenset[str] = (
-        frozenset()
-    )  # machines where the steps before it ran: what they left may still be there
-    prefers_cpu_machines: bool = (
-        False  # it needs no GPU, and there are machines without: on one that has some it is a guest
-    )
-    may_displace: bool = (
-        False  # a gang that has waited for much of the time in which it should start: it displaces owed work
-    )
+    has_reservation: bool = False  # machines are reserved for it
+    is_speculative: bool = False  # nobody waits for it: warm pool for expected arrivals
+    # Machines where the steps before it ran: their outputs may still be there.
+    preferred_machines: frozenset[str] = frozenset()
+    # It uses no GPU, and there are types without: it takes a machine with GPUs only where there is no other.
+    prefers_cpu_machines: bool = False
+    # A gang that has waited for much of the time in which it should start: it may displace work within a guarantee.
+    may_displace: bool = False
 
     @property
     def precedence(self) -> tuple[bool, bool, int]:
-        """Who goes first, the larger the sooner: production, within the guarantee, priority."""
+        """The largest is placed first: production, within the guarantee, priority."""
         return precedence(self.spec.priority, self.within_guarantee)
 
     @property
     def start_overdue(self) -> bool:
-        """Has none of it begun, though it has waited for much of the time in which the largest too should begin?"""
+        """Whether nothing of it has begun though it has waited for much of START_DEADLINE_S."""
         return (
             self.waited_s > constants.START_DEADLINE_S * constants.RESERVATION_AFTER_SHARE
             and not self.is_probe
@@ -253,11 +248,11 @@
         )
 
     def would_occupy_gpu_machine(self, capacity: FreeCapacity) -> bool:
-        """Is the room on a machine that other work needs more? It is used last, but used."""
+        """Whether it would take a GPU machine without using its GPUs. Such machines are used last, but used."""
         return self.prefers_cpu_machines and capacity.type.gpus > 0
 
     def allows(self, capacity: FreeCapacity) -> bool:
-        """May a task go to this room: allowed by its job, not avoided, not kept for another?"""
+        """Whether a task may go to this machine: allowed by its job, not avoided, not reserved for another."""
         return (
             capacity.allowed(self.spec)
             and capacity.name not in self.avoided_machines
@@ -267,7 +262,7 @@
 
 @dataclass(slots=True)
 class StalledReplica:
-    """A replica that has been waiting long for its image, and will for some time yet."""
+    """A replica whose image fetch has taken long, and will take some time yet."""
 
     demand: Demand  # as if it were to be placed anew
     index: int
@@ -285,7 +280,7 @@
 
 @dataclass(slots=True)
 class WarmPoolTarget:
-    """Room kept warm for work that must start sooner than a machine boots."""
+    """Capacity to keep warm for work that must start sooner than a machine boots."""
 
     spec: Submission
     count: int
@@ -293,7 +288,7 @@
 
 @dataclass(slots=True)
 class Snapshot:
-    """All that one plan is made from; amounts in CPUs, GPUs and GB, times in s."""
+    """The input of one plan; amounts in CPUs, GPUs and GB, times in seconds."""
 
     now: float  # time of day
     capacities: list[FreeCapacity]
@@ -303,13 +298,12 @@
     capacity_refusals: set[tuple[str, str, bool]]  # type, zone, spot: recently without capacity
     warm_pool_targets: list[WarmPoolTarget] = field(default_factory=list)
     stalled_replicas: list[StalledReplica] = field(default_factory=list)
-    boot_probe_allowance: dict[tuple[str, str], int] = field(
-        default_factory=dict
-    )  # type, zone: machines that may be rented there yet
+    # Of failing pools (type, zone): how many machines may be rented there yet.
+    boot_probe_allowance: dict[tuple[str, str], int] = field(default_factory=dict)
     zones_with_controllers: frozenset[str] | None = None  # zones that have a node; None: all
-    unreachable_zones: frozenset[str] = frozenset()  # zones cut off now: what is rented there could not be reached
+    unreachable_zones: frozenset[str] = frozenset()  # partitioned zones: what is rented there could not be reached
     may_rent: bool = True
-    may_migrate: bool = True  # replicas may be moved off a thin machine now
+    may_migrate: bool = True  # replicas may be moved off a nearly empty machine now
     slack_pad: float = constants.SLACK_PAD
     stopping_gpus: dict[str, float] = field(default_factory=dict)  # per team, of tasks being stopped
     stopping_cpus: dict[str, float] = field(default_factory=dict)
@@ -321,18 +315,19 @@
 
 @dataclass(slots=True)
 class Plan:
-    """What one cycle has decided."""
+    """The decisions of one cycle."""
 
     starts: list[tuple[str, list[tuple[int, str]]]] = field(default_factory=list)
-    stops: list[tuple[str, int, str]] = field(default_factory=list)  # job, task, for whom
-    reservations: dict[str, list[str]] = field(
-        default_factory=dict
-    )  # gang: machines on which room is being made for it
+    stops: list[tuple[str, int, str]] = field(default_factory=list)  # job, task, the job it is preempted for
+    # Gang: the machines reserved for it while preempted tasks stop.
+    reservations: dict[str, list[str]] = field(default_factory=dict)
     image_restarts: list[tuple[str, int]] = field(default_factory=list)  # job, task: to be started beside its image
-    migrations: list[tuple[str, int]] = field(default_factory=list)  # job, task: replicas that stand in a gang's way
+    migrations: list[tuple[str, int]] = field(
+        default_factory=list
+    )  # job, task: replicas that a gang's start requires to move
     rentals: list[Rental] = field(default_factory=list)
     waiting: dict[str, str] = field(default_factory=dict)  # job: why its tasks wait
-    idle_machines: set[str] = field(default_factory=set)  # empty machines that nothing needs
+    idle_machines: set[str] = field(default_factory=set)  # empty machines that may be returned
     unplaceable_job: str | None = None  # a job that has waited for long, and that no zone's machines could hold
     drain: str | None = None  # a machine whose replicas fit elsewhere
 
@@ -343,7 +338,7 @@
 
 
 def zone_allowed(spec: Submission, zone: str, placed: dict[str, int]) -> bool:
-    """May one more task go to this zone, given those placed? Those of unknown zone ('') may be anywhere."""
+    """Whether one more task may go to this zone, given those placed. Those of unknown zone ('') may be anywhere."""
     if spec.one_zone and any(n and z != zone for z, n in placed.items()):
         return False
     return not spec.spread or placed.get(zone, 0) + placed.get("", 0) < (spec.tasks + 1) // 2
--- a/winglift/policy/split.py
+++ b/winglift/policy/split.py
@@ -6,8 +6,11 @@
 
 
 def in_order(steps: Iterable[str], parents: Mapping[str, Sequence[str]]) -> list[str]:
-    """The steps, each after its parents. Each is looked at once: looking for the next among all took minutes for a
-    chain of 10,000. Raises ValueError where they depend on one another in a circle."""
+    """The steps in topological order, each after its parents.
+
+    Each step is visited once: searching for the next among all took minutes for a chain of 10,000. Raises ValueError
+    if the steps form a cycle.
+    """
     left = {step: len(set(parents.get(step, ()))) for step in steps}
     after: dict[str, list[str]] = {}
     for step in left:
@@ -31,8 +34,11 @@
     start: float,
     order: Sequence[str] | None = None,
 ) -> dict[str, float]:
-    """Earliest finish of each step; `known` holds real ends of steps that are over, `order` names each step after its
-    parents, where that is known already."""
+    """Earliest finish time of each step.
+
+    `known` holds the real finish times of completed steps, `order` the steps in topological order, if it is
+    known already.
+    """
     finish: dict[str, float] = {}
     for step in in_order(run_s, parents) if order is None else order:
         end = known.get(step)
@@ -54,17 +60,17 @@
 
     `estimates` holds run times by step, one mapping per machine type, slowest first. The slowest type whose
     makespan meets the deadline counts, or else the fastest. The time left over goes to the steps of the chain
-    that leads to each step in proportion to run time. `known` holds real ends: passing them redoes the split
-    for the later steps.
+    that leads to each step in proportion to run time. `known` holds real finish times: passing them redoes the
+    split for the later steps.
     """
-    ends = known or {}
+    known_finish = known or {}
     finish: dict[str, float] = {}
     run_s: Mapping[str, float] = {}
     for run_s in estimates:
-        finish = finish_times(run_s, parents, ends, start, order)
+        finish = finish_times(run_s, parents, known_finish, start, order)
         if max(finish.values()) <= deadline:
             break
-    begin = max([start, *ends.values()]) if ends else start
+    begin = max([start, *known_finish.values()]) if known_finish else start
     span = max(finish.values()) - begin
     spare = deadline - max(finish.values())
     # Stretching every step by the same ratio gives each a share in proportion to its run time; when the
@@ -72,9 +78,9 @@
     stretch = 1 + spare / span if span > 0 and spare > 0 else 1.0
     result: dict[str, float] = {}
     for step, end in finish.items():
-        result[step] = ends[step] if step in ends else begin + max(0.0, end - begin) * stretch
+        result[step] = known_finish[step] if step in known_finish else begin + max(0.0, end - begin) * stretch
     if span <= 0:
-        result.update({s: deadline for s in result if s not in ends and spare > 0})
+        result.update({s: deadline for s in result if s not in known_finish and spare > 0})
     return result
 
 
--- a/winglift/policy/warm_pool.py
+++ b/winglift/policy/warm_pool.py
@@ -1,4 +1,4 @@
-"""How much room to keep warm for work that must start sooner than a machine boots."""
+"""Warm pool: capacity kept free for work that must start sooner than a machine boots."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 def warm_pool_size(arrivals: Sequence[tuple[float, int]], now: float, boot_s: float, deviations: float) -> int:
-    """Tasks to keep room for: what may arrive while a machine boots.
+    """The number of tasks to keep capacity for: those that may arrive while a machine boots.
 
     `arrivals` holds time and tasks of recent jobs. The fullest stretch of time does not count towards the rate:
     when the service or its users start, everything is submitted at once, and that once kept 11 machines warm.
     """
     if now - max(when for when, _ in arrivals) > _quiet_s([when for when, _ in arrivals]):
-        # No more come: two GPU machines were once kept warm for minutes after the last gang.
+        # No more arrivals are expected: two GPU machines were once kept warm for minutes after the last gang.
         return 0
     slots: dict[int, int] = {}
     for when, tasks in arrivals:
@@ -38,9 +38,9 @@
 
 
 def _quiet_s(times: Sequence[float]) -> float:
-    """How long a class may be quiet until no more is expected of it, by the usual gap between its arrivals.
+    """Seconds without an arrival after which no more are expected of a class, by the mean gap between its arrivals.
 
-    What comes together counts as one arrival, and a single one tells nothing about gaps.
+    Arrivals in one slot count as one, and a single one gives no gap.
     """
     slots = len({int(when // constants.WARM_POOL_SLOT_S) for when in times})
     if slots < 2:
@@ -48,12 +48,12 @@
     return max(constants.WARM_POOL_QUIET_S, constants.WARM_POOL_QUIET_GAPS * (max(times) - min(times)) / (slots - 1))
 
 
-def _times(amount: float, each: float) -> float:
+def _units(amount: float, each: float) -> float:
     return amount / each if each > 0 else math.inf
 
 
 class WarmPool:
-    """Keeps room warm for the classes that must start sooner than a machine boots."""
+    """Keeps capacity warm for the classes that must start sooner than a machine boots."""
 
     def __init__(self, placement: PlacementState) -> None:
         self.placement = placement
@@ -72,12 +72,15 @@
         )
 
     def _missing(
-        self, reserve: WarmPoolTarget, capacities: Iterable[FreeCapacity], keep: bool
+        self, target: WarmPoolTarget, capacities: Iterable[FreeCapacity], keep: bool
     ) -> tuple[int, dict[str, int]]:
-        """How much of a reserve is not warm: neither free nor taken by work that would give way."""
-        spec, left = reserve.spec, reserve.count
+        """How many tasks of a target are not covered, neither by free capacity nor by preemptible work.
+
+        Also the tasks covered per zone.
+        """
+        spec, left = target.spec, target.count
         per_zone: dict[str, int] = {}
-        most = (reserve.count + 1) // 2 if spec.spread else reserve.count
+        zone_max = (target.count + 1) // 2 if spec.spread else target.count
         demand = self._demand(spec)
         for capacity in capacities:
             if left <= 0:
@@ -91,11 +94,11 @@
                 cpus, gpus, memory = cpus + more[0], gpus + more[1], memory + more[2]
             fit = int(
                 min(
-                    _times(gpus, spec.gpus),
-                    _times(cpus, spec.cpus),
-                    _times(memory, spec.memory_gb),
+                    _units(gpus, spec.gpus),
+                    _units(cpus, spec.cpus),
+                    _units(memory, spec.memory_gb),
                     left,
-                    most - per_zone.get(capacity.zone, 0),
+                    zone_max - per_zone.get(capacity.zone, 0),
                 )
                 + AMOUNT_TOLERANCE
             )
@@ -107,24 +110,24 @@
         return left, per_zone
 
     def covered_by(self, capacities: Iterable[FreeCapacity]) -> bool:
-        """Would these rooms alone keep every reserve warm?"""
+        """Whether these machines alone cover every target."""
         capacities = list(capacities)
         return all(
-            self._missing(reserve, capacities, keep=False)[0] <= 0
-            for reserve in self.placement.snapshot.warm_pool_targets
+            self._missing(target, capacities, keep=False)[0] <= 0
+            for target in self.placement.snapshot.warm_pool_targets
         )
 
-    def maintain(self, reserve: WarmPoolTarget) -> None:
-        """Keep room warm, and rent what is missing of it."""
+    def maintain(self, target: WarmPoolTarget) -> None:
+        """Keep capacity warm for a target, and rent what is missing."""
         placement = self.placement
         # Machines in use first: an empty one is kept only if they are not enough.
         capacities = sorted(placement.running + placement.booting, key=attrgetter("empty", "ready_in"))
-        left, per_zone = self._missing(reserve, capacities, keep=True)
-        spec = reserve.spec
+        left, per_zone = self._missing(target, capacities, keep=True)
+        spec = target.spec
         while left > 0 and placement.snapshot.may_rent:
             demand = self._demand(spec)
             if spec.spread:
-                demand.spec = msgspec.structs.replace(spec, tasks=max(1, reserve.count))
+                demand.spec = msgspec.structs.replace(spec, tasks=max(1, target.count))
             rented = placement.renting.rent(demand, per_zone)
             if rented is None:
                 return
