--- a/winglift/policy/cost_model.py
+++ b/winglift/policy/cost_model.py
@@ -44,13 +44,13 @@
 
 def cheapest_type(spec: Submission, types: Iterable[MachineType], spot: bool = False) -> MachineType | None:
     """The type that one task costs least on, ordinary or spot."""
-    fitting = [t for t in types if task_fits(spec, t) and (not spot or t.spot_price is not None)]
-    return min(fitting, key=lambda t: (task_price(spec, t, spot), t.name), default=None)
+    fitting = [mtype for mtype in types if task_fits(spec, mtype) and (not spot or mtype.spot_price is not None)]
+    return min(fitting, key=lambda mtype: (task_price(spec, mtype, spot), mtype.name), default=None)
 
 
 def prefers_cpu_machines(spec: Submission, types: Mapping[str, MachineType]) -> bool:
     """Whether a task uses no GPU, and fits a type without any."""
-    return spec.gpus <= 0 and any(t.gpus <= 0 and task_fits(spec, t) for t in types.values())
+    return spec.gpus <= 0 and any(mtype.gpus <= 0 and task_fits(spec, mtype) for mtype in types.values())
 
 
 def too_expensive(spec: Submission, mtype: MachineType, types: Iterable[MachineType], spot: bool) -> bool:
--- a/winglift/policy/failure_detector.py
+++ b/winglift/policy/failure_detector.py
@@ -1,7 +1,7 @@
 """Failure detection: which machines are to be deleted, probed or contacted again.
 
 A machine is deleted after a boot timeout, a reclaim by the cloud, a completed drain, a silence timeout, or when it can
-not be told to stop a cancelled task. The module is pure: the state of the machines is read from the cluster state, and
+not be made to stop a cancelled task. The module is pure: the state of the machines is read from the cluster state, and
 the caller passes the time and which other nodes can be heard. Times are in seconds.
 """
 
@@ -152,7 +152,7 @@
             return self._silence_timeout_in_partition_s(machine, hears_all)
         if not hears_all:
             return lease_s * constants.SILENT_PEER_SHARE
-        has_urgent_tasks = any(t.job.is_open and t.job.kind is not Kind.ARRAY for t in machine.tasks.values())
+        has_urgent_tasks = any(task.job.is_open and task.job.kind is not Kind.ARRAY for task in machine.tasks.values())
         probe_failed = machine.last_heard is not None and machine.probe_failed_at > machine.last_heard
         if has_urgent_tasks and probe_failed and not self._reachability.suspected(machine.zone, now):
             return constants.SILENT_REPORTS * self.workers.report_s
@@ -162,11 +162,11 @@
         """The silence timeout in seconds of a machine in a zone that is or was unreachable."""
         lease_s = self.workers.lease_s
         if machine.zone in self.zones_with_controllers or not hears_all:
-            # A node in there may be keeping its tasks alive.
+            # A node in the zone may be keeping its tasks alive.
             return lease_s * constants.SILENT_ZONE_SHARE
-        # No node in there, and all others are heard: what ran there is dead once its lease is over. Replicas start
+        # No node in the zone, and all others are heard: what ran there is dead once its lease is over. Replicas start
         # elsewhere at once. The rest waits longer: when the partition ends, its machines and images are there.
-        if any(t.job.is_open and t.job.kind is Kind.SERVICE for t in machine.tasks.values()):
+        if any(task.job.is_open and task.job.kind is Kind.SERVICE for task in machine.tasks.values()):
             return lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.LEASE_OVER_S
         return lease_s * constants.SILENT_PEER_SHARE
 
@@ -189,7 +189,7 @@
 
         After an outage or a standstill of this node, silence counts anew: once 15 machines that others had kept
         alive through an outage of 37 s were deleted in the moment it ended. In a zone that is partitioned from all
-        nodes it goes on: there is nobody who could have kept anything alive.
+        nodes it goes on: no node could have kept anything alive.
         """
         since = self.entitled_since or 0.0
         partitioned_from_all = (
@@ -235,7 +235,7 @@
         ]
 
     def overdue_cancellation(self, machine: Machine, now: float, wall: float) -> str | None:
-        """The reason to delete a machine that can't be told to stop a cancelled task, while `cancel_s` allows it."""
+        """The reason to delete a machine that can't be made to stop a cancelled task, while `cancel_s` allows it."""
         cancel_s = self.workers.cancel_s
         awaits_report = self._awaits_first_report(machine, now)
         for task in machine.tasks.values():
--- a/winglift/policy/gangs.py
+++ b/winglift/policy/gangs.py
@@ -59,17 +59,20 @@
         if placement.failed_searches.known_to_fail(where, spec, tasks):
             return None
         capacities = placement.running + placement.booting if include_booting else placement.running
-        allowed = self._allowed(demand, [r for r in capacities if (r.fits_after_stops(spec) if soon else r.fits(spec))])
+        allowed = self._allowed(
+            demand,
+            [capacity for capacity in capacities if (capacity.fits_after_stops(spec) if soon else capacity.fits(spec))],
+        )
         best: tuple[float, list[FreeCapacity]] | None = None
         for zone in self._zones(demand):
             candidates = allowed.get(zone, [])
-            if sum(r.slots(spec, soon) for r in candidates) < tasks:
+            if sum(capacity.slots(spec, soon) for capacity in candidates) < tasks:
                 continue
             taken = self._allocate_found(demand, Search(demand, candidates, placement.snapshot.now, soon))
             self.deallocate_all(demand, taken)
             if len(taken) == tasks:
                 # It starts once the last task has its image: a zone whose machines hold it comes before others.
-                slowest = max(fetch_s(r, spec) for r in taken)
+                slowest = max(fetch_s(capacity, spec) for capacity in taken)
                 if best is None or slowest < best[0]:
                     best = slowest, taken
                 if slowest <= 0:
@@ -99,7 +102,10 @@
 
     def fetch_too_long(self, demand: Demand, capacities: list[FreeCapacity]) -> bool:
         """Whether a gang that is due now would fetch its image for long there. It starts with the last of its tasks."""
-        return demand.spec.due_s is None and max(fetch_s(r, demand.spec) for r in capacities) > constants.FETCH_WORTH_S
+        return (
+            demand.spec.due_s is None
+            and max(fetch_s(capacity, demand.spec) for capacity in capacities) > constants.FETCH_WORTH_S
+        )
 
     def deallocate_all(self, demand: Demand, capacities: list[FreeCapacity]) -> None:
         """Give back places that were taken."""
@@ -125,7 +131,7 @@
         best = self._best_choice(demand, warm, displace)
         if best is not None and displace:
             chosen = [capacity for _, capacity, _ in best]
-            moved = sum(v.gpus for _, _, victims in best for v in victims if v.within_guarantee)
+            moved = sum(victim.gpus for _, _, victims in best for victim in victims if victim.within_guarantee)
             if preemption.replaceable(self.placement.running, chosen) - self._displaced < moved:
                 best = None
             else:
@@ -146,8 +152,11 @@
         # A start that waits for a fetch comes later than one that waits for a stop.
         weight = constants.FETCH_WEIGHT if spec.due_s is None else 1.0
         running = self.placement.with_image(spec.image) if warm else self.placement.running
-        preemptible = {r.name for r in preemption.machines_with_enough(demand, running)}
-        allowed = self._allowed(demand, [r for r in running if r.name in preemptible or r.fits_after_stops(spec)])
+        preemptible = {capacity.name for capacity in preemption.machines_with_enough(demand, running)}
+        allowed = self._allowed(
+            demand,
+            [capacity for capacity in running if capacity.name in preemptible or capacity.fits_after_stops(spec)],
+        )
         # Gangs are of few sizes: the victims found for one on a machine hold for the next, until the machine changes.
         kind = preemption.equivalence_class(demand), spec.gpus, spec.cpus, spec.memory_gb, warm, displace
         victims_by_machine = self._chosen.setdefault(kind, {})
@@ -170,13 +179,14 @@
                 )
                 if chosen:
                     cost = sum(
-                        v.lost_work_s * v.gang_size + (constants.DISPLACE_S if v.within_guarantee else 0.0)
-                        for v in chosen
+                        victim.lost_work_s * victim.gang_size
+                        + (constants.DISPLACE_S if victim.within_guarantee else 0.0)
+                        for victim in chosen
                     )
                     options.append((cost + 1.0 + fetch, capacity, chosen))
-            options.sort(key=lambda o: o[0])
+            options.sort(key=lambda option: option[0])
             if len(options) >= tasks:
-                cost = sum(o[0] for o in options[:tasks])
+                cost = sum(option[0] for option in options[:tasks])
                 if best is None or cost < best[0]:
                     best = cost, options[:tasks]
         return best[1] if best is not None else None
@@ -202,8 +212,8 @@
         placement, spec = self.placement, demand.spec
         checkpoint = placement.renting.checkpoint()
         known = placement.running + placement.booting
-        allowed = self._allowed(demand, [r for r in known if r.fits_after_stops(spec)])
-        zones = sorted(self._zones(demand), key=lambda z: (-len(allowed.get(z, [])), z or ""))
+        allowed = self._allowed(demand, [capacity for capacity in known if capacity.fits_after_stops(spec)])
+        zones = sorted(self._zones(demand), key=lambda zone: (-len(allowed.get(zone, [])), zone or ""))
         for zone in zones:
             taken = self._allocate_found(
                 demand, Search(demand, allowed.get(zone, []), placement.snapshot.now, soon=True)
--- a/winglift/policy/placement_state.py
+++ b/winglift/policy/placement_state.py
@@ -19,7 +19,9 @@
         self.plan = Plan()
         self.capacities = snapshot.capacities
         self.running = [capacity for capacity in self.capacities if capacity.ready_in <= 0]
-        self.booting = sorted((r for r in self.capacities if r.ready_in > 0), key=lambda r: r.ready_in)
+        self.booting = sorted(
+            (capacity for capacity in self.capacities if capacity.ready_in > 0), key=lambda capacity: capacity.ready_in
+        )
         self.preemption = Preemption(snapshot.quota, self.plan)
         self.renting = Renting(snapshot, self.plan, self.booting)
         self.failed_searches = FailedSearches()
@@ -30,7 +32,7 @@
         """The running machines that hold or fetch this image."""
         found = self._with_image.get(image)
         if found is None:
-            found = self._with_image[image] = [r for r in self.running if image in r.images]
+            found = self._with_image[image] = [capacity for capacity in self.running if image in capacity.images]
         return found
 
     def with_free_gpus(self, image: str | None, soon: bool) -> list[FreeCapacity]:
@@ -43,7 +45,9 @@
         if found is None:
             capacities = self.running if image is None else self.with_image(image)
             found = self._with_free_gpus[key] = [
-                r for r in capacities if r.gpus + (r.releasing_gpus if soon else 0.0) > AMOUNT_TOLERANCE
+                capacity
+                for capacity in capacities
+                if capacity.gpus + (capacity.releasing_gpus if soon else 0.0) > AMOUNT_TOLERANCE
             ]
         return found
 
@@ -102,8 +106,8 @@
         gpus -= snapshot.stopping_gpus.get(spec.team, 0.0)
         cpus -= snapshot.stopping_cpus.get(spec.team, 0.0)
         if (
-            gpus > sum(v.gpus for v, _ in candidates) + AMOUNT_TOLERANCE
-            or cpus > sum(v.cpus for v, _ in candidates) + AMOUNT_TOLERANCE
+            gpus > sum(victim.gpus for victim, _ in candidates) + AMOUNT_TOLERANCE
+            or cpus > sum(victim.cpus for victim, _ in candidates) + AMOUNT_TOLERANCE
         ):
             return
         self.spend(demand, tasks)
--- a/winglift/policy/plan.py
+++ b/winglift/policy/plan.py
@@ -254,31 +254,39 @@
     snapshot = placement.snapshot
     if not snapshot.may_migrate or placement.plan.waiting or placement.plan.rentals or placement.booting:
         return None
-    candidates = [r for r in placement.running if r.replica_count and not r.pinned_tasks and not r.preemptible_tasks]
-    others = [r for r in placement.running if not r.empty]
+    candidates = [
+        capacity
+        for capacity in placement.running
+        if capacity.replica_count and not capacity.pinned_tasks and not capacity.preemptible_tasks
+    ]
+    others = [capacity for capacity in placement.running if not capacity.empty]
     tried = 0
     # Few replicas are quickly moved; few images are little lost for later starts.
     # Replicas on GPU machines, which others need more, go first, then those whose move saves most.
     for capacity in sorted(
         candidates,
-        key=lambda r: (
-            r.type.gpus <= 0,
-            r.replica_count / max(r.type.price, constants.PRICE_MIN),
-            len(r.images),
-            r.name,
+        key=lambda capacity: (
+            capacity.type.gpus <= 0,
+            capacity.replica_count / max(capacity.type.price, constants.PRICE_MIN),
+            len(capacity.images),
+            capacity.name,
         ),
     ):
         capacity.inspect()
-        if any(m.ran_s < constants.MIGRATION_AFTER_S for m in capacity.movable_replicas):
+        if any(replica.ran_s < constants.MIGRATION_AFTER_S for replica in capacity.movable_replicas):
             continue
         tried += 1
         if tried > constants.MIGRATION_CANDIDATES:
             return None
         taken = allocate_elsewhere(
-            placement, capacity, capacity.movable_replicas, [r for r in others if r.spot == capacity.spot], warm=True
+            placement,
+            capacity,
+            capacity.movable_replicas,
+            [other for other in others if other.spot == capacity.spot],
+            warm=True,
         )
         fits = len(taken) == len(capacity.movable_replicas) and warm_pool.covered_by(
-            r for r in others if r is not capacity
+            other for other in others if other is not capacity
         )
         for replica, target in taken:
             target.deallocate(replica.spec)
@@ -295,7 +303,11 @@
     """
     for stalled in placement.snapshot.stalled_replicas:
         demand = stalled.demand
-        warm = [r for r in placement.with_image(demand.spec.image) if demand.spec.image in r.cached_images]
+        warm = [
+            capacity
+            for capacity in placement.with_image(demand.spec.image)
+            if demand.spec.image in capacity.cached_images
+        ]
         capacity = Search(demand, warm, placement.snapshot.now).best(demand.zones) or PreemptionCandidates(
             placement.preemption, demand, warm, allow_gang_start_loss=False
         ).preempt_cheapest(demand.zones)
@@ -321,6 +333,8 @@
     for target in snapshot.warm_pool_targets:
         warm_pool.maintain(target)
     # A machine reserved for a job that waits for more machines is not idle, however long that takes.
-    placement.plan.idle_machines = {r.name for r in placement.running if r.empty and not r.reserved_for}
+    placement.plan.idle_machines = {
+        capacity.name for capacity in placement.running if capacity.empty and not capacity.reserved_for
+    }
     placement.plan.drain = consolidate(placement, warm_pool)
     return placement.plan
--- a/winglift/policy/preemption.py
+++ b/winglift/policy/preemption.py
@@ -62,12 +62,12 @@
             if capacity.name not in excluded_names and capacity.preemptible_by_rank[0][1] > 0:
                 capacity.inspect()
                 found += sum(
-                    v.gpus
-                    for v in capacity.victims
-                    if v.rank == 0
-                    and not v.within_guarantee
-                    and v.team in self._borrowers
-                    and (v.ref, v.index) not in self.stopped
+                    victim.gpus
+                    for victim in capacity.victims
+                    if victim.rank == 0
+                    and not victim.within_guarantee
+                    and victim.team in self._borrowers
+                    and (victim.ref, victim.index) not in self.stopped
                 )
         return found
 
@@ -83,16 +83,18 @@
         gpus_min = demand.spec.gpus - AMOUNT_TOLERANCE
         if not rank_limit:
             return [
-                r
-                for r in capacities
-                if r.preemptible_tasks and r.gpus + r.releasing_gpus >= gpus_min and demand.allows(r)
+                capacity
+                for capacity in capacities
+                if capacity.preemptible_tasks
+                and capacity.gpus + capacity.releasing_gpus >= gpus_min
+                and demand.allows(capacity)
             ]
         return [
-            r
-            for r in capacities
-            if r.preemptible_tasks
-            and r.gpus + r.releasing_gpus + r.preemptible_by_rank[rank_limit - 1][1] >= gpus_min
-            and demand.allows(r)
+            capacity
+            for capacity in capacities
+            if capacity.preemptible_tasks
+            and capacity.gpus + capacity.releasing_gpus + capacity.preemptible_by_rank[rank_limit - 1][1] >= gpus_min
+            and demand.allows(capacity)
         ]
 
     def may_preempt_somewhere(self, demand: Demand, capacities: Iterable[FreeCapacity]) -> bool:
@@ -212,7 +214,10 @@
             return None
         # A fetch makes production work late; others it costs no more than the time itself.
         fetch = fetch_s(capacity, demand.spec) * (constants.FETCH_WEIGHT if demand.spec.due_s is None else 1.0)
-        cost = (max(v.precedence for v in chosen), sum(v.lost_work_s * v.gang_size for v in chosen) + fetch)
+        cost = (
+            max(victim.precedence for victim in chosen),
+            sum(victim.lost_work_s * victim.gang_size for victim in chosen) + fetch,
+        )
         self._entries += 1
         return cost, self._order[capacity.name], self._entries, capacity, capacity.version, chosen
 
--- a/winglift/policy/renting.py
+++ b/winglift/policy/renting.py
@@ -41,7 +41,7 @@
             snapshot.boot_probe_allowance
         )  # in pools whose machines fail to boot, few are tried
         self.all_zones_unreachable = all(
-            z in snapshot.unreachable_zones for t in snapshot.types.values() for z in t.zones
+            zone in snapshot.unreachable_zones for mtype in snapshot.types.values() for zone in mtype.zones
         )
         self.per_zone: dict[str, int] = {}
         for capacity in snapshot.capacities:
@@ -59,7 +59,7 @@
             return True
         types = self.snapshot.types.values()
         mtype = cost_model.cheapest_type(
-            spec, [t for t in types if self._available(t, spec)]
+            spec, [mtype for mtype in types if self._available(mtype, spec)]
         ) or cost_model.cheapest_type(spec, types)
         ready = cost_model.ready_s(spec, mtype) if mtype is not None else 0.0
         return (
--- a/winglift/policy/replica_relocation.py
+++ b/winglift/policy/replica_relocation.py
@@ -17,19 +17,20 @@
 
 def _fits_without(capacity: FreeCapacity, spec: Submission, replicas: list[MovableReplica]) -> bool:
     """Whether a task would fit there without these replicas, and once the tasks it may preempt have stopped."""
-    preemptible = [v for v in capacity.victims if v.rank < spec.priority.rank]
+    preemptible = [victim for victim in capacity.victims if victim.rank < spec.priority.rank]
     return (
         capacity.cpus
         + capacity.releasing_cpus
-        + sum(v.cpus for v in preemptible)
-        + sum(m.spec.cpus for m in replicas)
+        + sum(victim.cpus for victim in preemptible)
+        + sum(replica.spec.cpus for replica in replicas)
         + AMOUNT_TOLERANCE
         >= spec.cpus
-        and capacity.gpus + capacity.releasing_gpus + sum(v.gpus for v in preemptible) + AMOUNT_TOLERANCE >= spec.gpus
+        and capacity.gpus + capacity.releasing_gpus + sum(victim.gpus for victim in preemptible) + AMOUNT_TOLERANCE
+        >= spec.gpus
         and capacity.memory_gb
         + capacity.releasing_memory_gb
-        + sum(v.memory_gb for v in preemptible)
-        + sum(m.spec.memory_gb for m in replicas)
+        + sum(victim.memory_gb for victim in preemptible)
+        + sum(replica.spec.memory_gb for replica in replicas)
         + AMOUNT_TOLERANCE
         >= spec.memory_gb
     )
@@ -40,7 +41,7 @@
 
     A replica is moved only if it fits elsewhere now, and only if all moves together free enough.
     """
-    if all(t.gpus > 0 for t in placement.snapshot.types.values()):
+    if all(mtype.gpus > 0 for mtype in placement.snapshot.types.values()):
         return False  # no type without GPUs to relocate to: spares a pass over 645 machines for each gang that waits
     best: tuple[int, FreeCapacity, list[tuple[MovableReplica, FreeCapacity]]] | None = None
     for capacity in placement.running:
@@ -53,11 +54,16 @@
             continue
         capacity.inspect()
         replicas = sorted(
-            (m for m in capacity.movable_replicas if cost_model.prefers_cpu_machines(m.spec, placement.snapshot.types)),
-            key=lambda m: -m.spec.cpus,
+            (
+                replica
+                for replica in capacity.movable_replicas
+                if cost_model.prefers_cpu_machines(replica.spec, placement.snapshot.types)
+            ),
+            key=lambda replica: -replica.spec.cpus,
         )
         count = next(
-            (n for n in range(1, len(replicas) + 1) if _fits_without(capacity, demand.spec, replicas[:n])), None
+            (count for count in range(1, len(replicas) + 1) if _fits_without(capacity, demand.spec, replicas[:count])),
+            None,
         )
         if count is None or (best is not None and count >= best[0]):
             continue
@@ -92,15 +98,15 @@
         demand = Demand(
             replica.ref, replica.spec, [], placement.snapshot.now, 0.0, {}, prefers_cpu_machines=prefers_cpu_machines
         )
-        placed = {z: n - (z == capacity.zone) for z, n in replica.zones.items()}
+        placed = {zone: count - (zone == capacity.zone) for zone, count in replica.zones.items()}
         target = Search(
             demand,
             [
-                r
-                for r in capacities
-                if r is not capacity
-                and not demand.would_occupy_gpu_machine(r)
-                and (not warm or replica.spec.image in r.images)
+                other
+                for other in capacities
+                if other is not capacity
+                and not demand.would_occupy_gpu_machine(other)
+                and (not warm or replica.spec.image in other.images)
             ],
             placement.snapshot.now,
         ).best(placed)
--- a/winglift/policy/reservation.py
+++ b/winglift/policy/reservation.py
@@ -36,8 +36,8 @@
 
     The replicas of a service are placed before all else anyhow.
     """
-    late = (n for n in demands if n.start_overdue and n.spec.kind is not Kind.SERVICE)
-    return max(late, key=lambda n: (_demand_size(n), n.waited_s, n.ref), default=None)
+    late = (demand for demand in demands if demand.start_overdue and demand.spec.kind is not Kind.SERVICE)
+    return max(late, key=lambda demand: (_demand_size(demand), demand.waited_s, demand.ref), default=None)
 
 
 def reservation_paused(demand: Demand) -> bool:
@@ -64,7 +64,7 @@
             zones.setdefault(capacity.zone if demand.spec.one_zone else "", []).append(capacity)
     best: tuple[float, list[FreeCapacity]] | None = None
     for capacities in zones.values():
-        capacities.sort(key=lambda r: (_missing_share(demand, r), r.name))
+        capacities.sort(key=lambda capacity: (_missing_share(demand, capacity), capacity.name))
         chosen: list[FreeCapacity] = []
         left = tasks
         for capacity in capacities:
@@ -72,7 +72,7 @@
                 break
             chosen.append(capacity)
             left -= max(1, capacity.slots(demand.spec, soon=True))
-        lacks = sum(_missing_share(demand, r) for r in chosen)
+        lacks = sum(_missing_share(demand, capacity) for capacity in chosen)
         if left <= 0 and (best is None or lacks < best[0]):
             best = lacks, chosen
     if best is None or len(best[1]) > constants.RESERVATION_MAX_SHARE * len(placement.running):
--- a/winglift/policy/search.py
+++ b/winglift/policy/search.py
@@ -59,7 +59,7 @@
         self._heaps: dict[str, list[SearchEntry]] = {}
         spec = demand.spec
         self._fits = FreeCapacity.fits_after_stops if soon else FreeCapacity.fits
-        fitting = [r for r in capacities if self._fits(r, spec)]
+        fitting = [capacity for capacity in capacities if self._fits(capacity, spec)]
         self.none_fits = not fitting
         for capacity in fitting:
             if demand.allows(capacity):
--- a/winglift/policy/snapshot.py
+++ b/winglift/policy/snapshot.py
@@ -111,8 +111,12 @@
             )
 
     def _preemptible_below(self, rank: int) -> Resources:
-        found = [v for v in self.victims if v.rank < rank]
-        return sum(v.cpus for v in found), sum(v.gpus for v in found), sum(v.memory_gb for v in found)
+        found = [victim for victim in self.victims if victim.rank < rank]
+        return (
+            sum(victim.cpus for victim in found),
+            sum(victim.gpus for victim in found),
+            sum(victim.memory_gb for victim in found),
+        )
 
     def inspect(self) -> None:
         """Fill in the tasks that could be stopped or moved; only few machines of a cycle need it."""
@@ -225,7 +229,7 @@
     is_probe: bool = False  # the job seems faulty: it may use free capacity, and nothing is preempted or rented for it
     waited_s: float = 0.0  # since its acceptance, or since its last attempt ended
     has_reservation: bool = False  # machines are reserved for it
-    is_speculative: bool = False  # nobody waits for it: warm pool for expected arrivals
+    is_speculative: bool = False  # no submitted job: warm pool for expected arrivals
     # Machines where the steps before it ran: their outputs may still be there.
     preferred_machines: frozenset[str] = frozenset()
     # It uses no GPU, and there are types without: it takes a machine with GPUs only where there is no other.
@@ -339,6 +343,6 @@
 
 def zone_allowed(spec: Submission, zone: str, placed: dict[str, int]) -> bool:
     """Whether one more task may go to this zone, given those placed. Those of unknown zone ('') may be anywhere."""
-    if spec.one_zone and any(n and z != zone for z, n in placed.items()):
+    if spec.one_zone and any(count and other_zone != zone for other_zone, count in placed.items()):
         return False
     return not spec.spread or placed.get(zone, 0) + placed.get("", 0) < (spec.tasks + 1) // 2
--- a/winglift/policy/split.py
+++ b/winglift/policy/split.py
@@ -43,7 +43,7 @@
     for step in in_order(run_s, parents) if order is None else order:
         end = known.get(step)
         if end is None:
-            end = max([start, *[finish[p] for p in parents.get(step, ())]]) + run_s[step]
+            end = max([start, *[finish[parent] for parent in parents.get(step, ())]]) + run_s[step]
         finish[step] = end
     return finish
 
@@ -80,7 +80,7 @@
     for step, end in finish.items():
         result[step] = known_finish[step] if step in known_finish else begin + max(0.0, end - begin) * stretch
     if span <= 0:
-        result.update({s: deadline for s in result if s not in known_finish and spare > 0})
+        result.update({step: deadline for step in result if step not in known_finish and spare > 0})
     return result
 
 
