--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""When a machine is given up: what is known decides, not patience alone."""
+"""Failure detection: silence timeouts by what is known of machine, zone and nodes."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
     return cluster, failure_detector
 
 
-def given_up(
+def deletion_times(
     cluster: ClusterState, failure_detector: FailureDetector, heard: str, until: float, hears_all: bool = True
 ) -> dict[str, float]:
-    """When which machine is given up, if only those whose name begins with one of `heard` go on reporting."""
+    """When each machine is deleted, if only those whose name begins with one of `heard` go on reporting."""
     found: dict[str, float] = {}
     now = 0.0
     while now < until:
@@ -64,23 +64,23 @@
     return found
 
 
-def test_in_a_cut_zone_without_a_node_replicas_move_once_they_are_surely_dead():
+def test_in_a_partitioned_zone_without_a_node_replicas_move_once_their_lease_is_over():
     cluster, failure_detector = fleet({"vm-b0": Kind.SERVICE, "vm-b1": Kind.ARRAY})
-    found = given_up(cluster, failure_detector, "vm-a", 60.0)
+    found = deletion_times(cluster, failure_detector, "vm-a", 60.0)
     assert LEASE_S < found["vm-b0"] <= LEASE_S + 1.5
-    # Dead as well, but when the cut ends its machine and images are there.
+    # Dead as well, but when the partition ends its machine and images are there.
     assert found["vm-b1"] > 2 * LEASE_S and set(found) == {f"vm-b{i}" for i in range(6)}
     assert failure_detector.unreachable_zones == {"b"}
 
 
 @pytest.mark.parametrize("attended,hears_all", [("ab", True), ("a", False)])
-def test_a_cut_zone_is_spared_while_a_node_may_be_keeping_it_alive(attended, hears_all):
+def test_a_partitioned_zone_is_spared_while_a_node_may_be_keeping_it_alive(attended, hears_all):
     cluster, failure_detector = fleet({"vm-b0": Kind.SERVICE}, attended)
-    assert given_up(cluster, failure_detector, "vm-a", 5 * LEASE_S, hears_all) == {}
+    assert deletion_times(cluster, failure_detector, "vm-a", 5 * LEASE_S, hears_all) == {}
 
 
 @given(st.lists(st.floats(0.0, 1.25), min_size=6, max_size=6), st.lists(st.floats(0.0, 0.9), min_size=6, max_size=6))
-def test_the_first_machines_of_a_cut_are_not_taken_for_lone_ones(phases, steps):
+def test_the_first_machines_of_a_partition_are_not_taken_for_single_failures(phases, steps):
     """Their last reports lie up to 1.25 intervals apart. A node in there keeps all of them alive."""
     cluster, failure_detector = fleet({f"vm-b{i}": Kind.SERVICE for i in range(6)}, "ab")
     for i, phase in enumerate(phases):
@@ -94,14 +94,16 @@
         assert not failure_detector.evaluate(now, 1e9, True, True).to_delete
 
 
-def test_a_successor_goes_on_counting_the_silence_of_a_zone_that_is_cut():
+def test_a_successor_goes_on_counting_the_silence_of_a_partitioned_zone():
     """It once waited a whole lease anew: the replicas had been dead for that long when it began."""
     cluster, failure_detector = fleet({"vm-b0": Kind.SERVICE})
-    given_up(cluster, failure_detector, "vm-a", LEASE_S - 1)
-    told = {m.name: LEASE_S - 1 - (m.last_heard or 0.0) for m in failure_detector.silent_machines(LEASE_S - 1)}
-    assert set(told) == {f"vm-b{i}" for i in range(6)}
+    deletion_times(cluster, failure_detector, "vm-a", LEASE_S - 1)
+    silence_by_name = {
+        m.name: LEASE_S - 1 - (m.last_heard or 0.0) for m in failure_detector.silent_machines(LEASE_S - 1)
+    }
+    assert set(silence_by_name) == {f"vm-b{i}" for i in range(6)}
     after = ClusterState(settings(), {"g4": TYPE}, 2)
-    after.silent_since = {name: LEASE_S - 1 - seconds for name, seconds in told.items()}
+    after.silent_since = {name: LEASE_S - 1 - seconds for name, seconds in silence_by_name.items()}
     for ref, job in cluster.jobs.items():
         record = records.JobRecord(submitted_at=0.0, spec=job.spec, next_attempt=2, assignments=[("vm-b0", 1, "0")])
         apply_record(after, ref, job.version, record, LEASE_S)
@@ -118,19 +120,19 @@
 
 
 @given(st.integers(0, 40))
-def test_a_lone_silent_machine_is_asked_and_given_up_early_only_if_it_does_not_answer(heard_for):
+def test_a_single_silent_machine_is_probed_and_deleted_early_only_if_it_does_not_answer(heard_for):
     cluster, failure_detector = fleet({"vm-b0": Kind.SERVICE, "vm-b1": Kind.ARRAY, "vm-b2": Kind.GANG})
     last = heard_for / 10
     for machine in cluster.machines.values():
         machine.last_heard = last
     others = "vm-a vm-b3 vm-b4 vm-b5"
-    assert not given_up(cluster, failure_detector, others, last + constants.PROBE_REPORTS * REPORT_S)
+    assert not deletion_times(cluster, failure_detector, others, last + constants.PROBE_REPORTS * REPORT_S)
     now = last + constants.PROBE_REPORTS * REPORT_S + 0.6
     for machine in cluster.machines.values():
         if machine.name.startswith(tuple(others.split())):
             machine.last_heard = now
-    asked = failure_detector.evaluate(now, 1e9, True, True).to_probe
-    assert {m.name for m in asked} == {"vm-b0", "vm-b1", "vm-b2"}
+    probed = failure_detector.evaluate(now, 1e9, True, True).to_probe
+    assert {m.name for m in probed} == {"vm-b0", "vm-b1", "vm-b2"}
     cluster.machines["vm-b0"].probe_failed_at = cluster.machines["vm-b1"].probe_failed_at = now
     cluster.machines["vm-b2"].last_heard = now  # it has answered
     soon = last + constants.SILENT_REPORTS * REPORT_S + 0.1
@@ -144,7 +146,7 @@
     [(True, True, False), (False, True, False), (False, False, False), (False, True, True)],
 )
 def test_no_answer_counts_only_from_a_node_that_reaches_other_machines(monkeypatch, answers, control, stands_still):
-    """A leader cut off from all workers, whom it heard through other nodes, once gave sound machines up."""
+    """A leader cut off from all workers, whom it heard through other nodes, once deleted healthy machines."""
     cluster, _ = fleet({})
     machine, other = cluster.machines["vm-b0"], cluster.machines["vm-b1"]
     machine.addr, other.addr = "127.0.0.1:1", "127.0.0.1:2"
@@ -180,7 +182,7 @@
     assert (machine.seq == 7) == answers
 
 
-def test_the_last_machines_to_find_another_node_are_not_given_up():
+def test_the_last_machines_to_find_another_node_are_not_deleted():
     """Workers whose node was cut off from them come back one by one, over two tries of 5 s."""
     cluster, failure_detector = fleet({f"vm-b{i}": Kind.SERVICE for i in range(6)}, "ab")
     now = 0.0
@@ -195,11 +197,11 @@
         assert not failure_detector.evaluate(now, 1e9, True, True).to_delete
 
 
-def test_nothing_is_rented_in_a_zone_that_is_cut_off():
-    """With its machines out of reach it looked like the emptiest zone."""
+def test_nothing_is_rented_in_an_unreachable_zone():
+    """An unreachable zone once seemed the emptiest one."""
 
-    def zones(cut: frozenset[str]) -> set[str]:
-        snap = Snapshot(0.0, [], [], QuotaUsage({}), {"g4": TYPE}, set(), unreachable_zones=cut)
+    def zones(unreachable: frozenset[str]) -> set[str]:
+        snap = Snapshot(0.0, [], [], QuotaUsage({}), {"g4": TYPE}, set(), unreachable_zones=unreachable)
         renting = Renting(snap, Plan(), [])
         capacities = [renting.rent(Demand("wk-1", spec(), [0], 1e9, 1.0, {}), {}) for _ in range(4)]
         return {r.zone for r in capacities if r is not None}
--- a/tests/test_kinds.py
+++ b/tests/test_kinds.py
@@ -170,7 +170,7 @@
 
 
 @given(mixes())
-def test_what_is_rented_is_never_dearer_than_what_is_to_be_had_with_the_same_lateness(snap):
+def test_what_is_rented_is_never_dearer_than_what_is_available_with_the_same_lateness(snap):
     for one in snap.demands:
         renting = Renting(snap, policy_snapshot.Plan(), [])
         choices = renting._choices(one, {})
@@ -219,7 +219,7 @@
     assert [r.type for r in make_plan(snapshot([], [demand(big, due=1010.0)])).rentals] == ["s"]
 
 
-def test_the_slack_wait_counts_the_boot_of_the_cheapest_type_that_is_to_be_had():
+def test_the_slack_wait_counts_the_boot_of_the_cheapest_type_that_is_available():
     slow = msgspec.structs.replace(WIDE, name="slow", boot_s=200.0, price=0.5, spot_price=0.1)
     one = demand(BATCH, due=1000.0 + 50 * constants.SLACK_PAD + 100.0)
     snap = snapshot([], [one], {"slow": slow, "w": WIDE})
@@ -228,7 +228,7 @@
     assert not Renting(snap, policy_snapshot.Plan(), []).slack_exhausted(one)  # nobody waits for what is not to be had
 
 
-def test_guests_go_to_gpu_machines_last_and_replicas_never_beside_room_elsewhere():
+def test_work_without_gpus_goes_to_gpu_machines_last_and_replicas_never_beside_other_capacity():
     capacities = [capacity("m1", GPU, images={"img"}, cached_images={"img"}), capacity("m2", SMALL)]
     for job in (BATCH, REPLICA):
         assert make_plan(snapshot(copy.deepcopy(capacities), [demand(job)])).starts == [(job.ref, [(0, "m2")])]
@@ -245,7 +245,7 @@
 
 
 @pytest.mark.parametrize("elsewhere", [True, False])
-def test_replicas_move_out_of_the_way_of_a_gang_that_fits_nowhere_else(elsewhere):
+def test_replicas_are_relocated_for_a_gang_that_fits_nowhere_else(elsewhere):
     barred = capacity("m1", GPU, movable_replicas=replica(8))
     barred.cpus -= 8
     barred.empty = False
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -57,7 +57,7 @@
     assert crowded(scene, 300.0, GANG) <= 240.0 and not scene.broken
 
 
-def test_what_is_held_for_the_largest_is_not_returned_as_idle_and_goes_to_nobody_else():
+def test_machines_reserved_for_the_largest_are_not_returned_as_idle_and_go_to_no_other_job():
     capacities = [capacity("m1", empty=True), capacity("m2", empty=True), *[full(f"m{n}", []) for n in range(3, 7)]]
     large = policy_snapshot.Demand(
         "wk-1", spec("wk-1", kind=Kind.GANG, tasks=3, gpus=4.0, cpus=30.0), [0, 1, 2], 900.0, 60.0, {}
@@ -79,7 +79,7 @@
 
 @hsettings(max_examples=10, phases=[Phase.generate])
 @given(st.integers(1, 4), st.integers(2, 6), st.floats(0.0, 60.0), st.sampled_from([1.5, 2.0, 3.0]))
-def test_nobody_waits_for_90_s_beside_room_that_is_kept_for_the_largest(free, full_ones, came_s, step_s):
+def test_no_job_waits_for_90_s_beside_capacity_reserved_for_the_largest(free, full_ones, came_s, step_s):
     """However long it does not begin: some machines are free all the while, and a small job waits for each of them."""
     capacities = [capacity(f"m{n}", empty=True) for n in range(free)] + [full(f"f{n}", []) for n in range(full_ones)]
     large = policy_snapshot.Demand(
@@ -105,6 +105,6 @@
     assert longest < 80.0 and (held > 0 or free + 1 > (free + full_ones) / 2)
 
 
-def test_without_room_kept_together_it_does_not(monkeypatch):
+def test_without_a_reservation_it_does_not(monkeypatch):
     monkeypatch.setattr("winglift.policy.plan.reserve_for_largest", lambda placement: None)
     assert crowded(begun(run_s=20.0, capacity=7), 300.0, GANG) > 240.0
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -1,4 +1,4 @@
-"""Where work goes when room is short: beside its image, within reach of a node, at the least cost to others."""
+"""Placement when capacity is short: beside its image, within reach of a node, at the least cost to others."""
 
 from __future__ import annotations
 
@@ -62,14 +62,14 @@
     assert zones(None, Kind.SERVICE) == zones(frozenset("b"), Kind.ARRAY) == {"a", "b"}
 
 
-def test_owed_arrays_wait_a_moment_for_what_ends_by_itself():
+def test_guaranteed_arrays_defer_preemption_while_tasks_complete():
     """On a busy day others were stopped for them 11 times a second, while 130 tasks a second ended."""
     busy = full("m", [victim("wk-9", n) for n in range(4)])
     job = spec("wk-1", tasks=2, due_s=600.0, priority=Priority.LOW)
 
-    def plan(patient: bool, capacities: list[policy_snapshot.FreeCapacity]) -> policy_snapshot.Plan:
+    def plan(deferring: bool, capacities: list[policy_snapshot.FreeCapacity]) -> policy_snapshot.Plan:
         demand = policy_snapshot.Demand(
-            "wk-1", job, [0, 1], 1500.0, 60.0, {}, within_guarantee=True, defers_preemption=patient
+            "wk-1", job, [0, 1], 1500.0, 60.0, {}, within_guarantee=True, defers_preemption=deferring
         )
         snap = snapshot(capacities, [demand])
         snap.quota.add(spec("wk-9", team="blue", gpus=1.0), 9)  # blue borrows
@@ -77,11 +77,11 @@
 
     assert not plan(True, [busy]).stops and not plan(True, [busy]).rentals
     assert len(plan(False, [busy]).stops) == 2
-    # What is free is taken, and where nothing would give way nothing is waited for.
+    # What is free is taken, and where nothing may be preempted nothing is waited for.
     assert plan(True, [capacity("m")]).starts and plan(True, []).rentals
 
 
-def test_a_gang_due_now_makes_room_beside_its_image_before_it_fetches():
+def test_a_gang_due_now_preempts_beside_its_image_before_it_fetches():
     gang = spec("wk-1", tasks=2, gpus=4.0, kind=Kind.GANG, priority=Priority.HIGH, one_zone=True, image_gb=12.0)
     demand = policy_snapshot.Demand("wk-1", gang, [0, 1], 1000.0, 60.0, {})
     warm = [full(f"w{i}", [victim("wk-9", 4 * i + n) for n in range(4)], images={"img"}) for i in range(2)]
@@ -89,11 +89,11 @@
     plan = make_plan(snapshot(warm + cold, [demand]))
     assert len(plan.stops) == 8 and not plan.starts
     # Not at the cost of another gang's start, and not for a fetch of a moment.
-    frail = [
+    starting_gangs = [
         full(f"w{i}", [victim("wk-9", 4 * i + n, loses_gang_start=True) for n in range(4)], images={"img"})
         for i in range(2)
     ]
-    assert make_plan(snapshot(frail + [capacity(f"c{i}", "b") for i in range(2)], [demand])).starts
+    assert make_plan(snapshot(starting_gangs + [capacity(f"c{i}", "b") for i in range(2)], [demand])).starts
     demand.spec = spec("wk-1", tasks=2, gpus=4.0, kind=Kind.GANG, priority=Priority.HIGH, one_zone=True, image_gb=1.0)
     warm = [full(f"w{i}", [victim("wk-9", 4 * i + n) for n in range(4)], images={"img"}) for i in range(2)]
     assert make_plan(snapshot(warm + [capacity(f"c{i}", "b") for i in range(2)], [demand])).starts
@@ -109,7 +109,7 @@
     st.integers(1, 3),
     st.sampled_from([1.0, 2.0, 4.0]),
 )
-def test_room_for_a_gang_costs_little_more_than_the_best_choice(machines, tasks, gpus):
+def test_preemption_for_a_gang_costs_little_more_than_the_best_choice(machines, tasks, gpus):
     """Against a search of all sets of victims on all sets of machines of a zone, one task a machine.
 
     On a machine the cheapest victims go first, which is not always best: at most what the largest of them costs is
@@ -176,7 +176,7 @@
         assert cost <= min(costs) + 60.0 * tasks
 
 
-def test_a_replica_whose_fetch_drags_on_starts_beside_its_image_when_there_is_room():
+def test_a_replica_with_a_stalled_fetch_starts_beside_its_image_when_there_is_capacity():
     job = spec("wk-1", tasks=2, kind=Kind.SERVICE, priority=Priority.PRODUCTION, spread=True, image="img")
 
     def plan(*capacities: policy_snapshot.FreeCapacity) -> policy_snapshot.Plan:
@@ -194,7 +194,7 @@
     assert made.image_restarts and made.stops == [("wk-9", 0, "wk-1")]
 
 
-def test_a_fetch_counts_as_dragging_on_by_what_it_shares_the_rate_with():
+def test_a_fetch_counts_as_stalled_by_what_it_shares_the_rate_with():
     site = settings()
     cluster = ClusterState(site, {"g4": TYPE}, 1)
     inventory = Inventory(SimpleNamespace(), cluster, 3.0, OpenIntentLog())  # type: ignore[arg-type]
@@ -217,25 +217,30 @@
 
 
 @given(st.integers(1, 2), st.integers(0, 9), st.booleans())
-def test_owed_work_is_displaced_for_a_late_gang_only_if_it_finds_another_place_at_once(owed, borrowed_elsewhere, late):
-    """One owed task on a machine barred all of it from a gang that needs it whole, while as much borrowed work ran."""
+def test_guaranteed_work_is_displaced_for_a_late_gang_only_if_it_is_placed_elsewhere_at_once(
+    guaranteed, borrowed_elsewhere, late
+):
+    """One task within a guarantee barred a whole machine from a gang that demands all of it, while as much borrowed
+    work ran.
+    """
 
     def task(ref: str, index: int, within: bool) -> policy_snapshot.Victim:
         return policy_snapshot.Victim(ref, index, Priority.LOW, "blue", 5.0, 1.0, 20.0, 5.0, 1, within)
 
     whole = [
-        full(f"m{m}", [task("wk-8" if n < owed else "wk-9", 4 * m + n, n < owed) for n in range(4)]) for m in range(2)
+        full(f"m{m}", [task("wk-8" if n < guaranteed else "wk-9", 4 * m + n, n < guaranteed) for n in range(4)])
+        for m in range(2)
     ]
     others = [full(f"o{i}", [task("wk-7", 10 * i, False)], zone="b") for i in range(borrowed_elsewhere)]
     snap = snapshot(whole + others, [gang_of(2, may_displace=late)])
     snap.quota.add(spec("wk-9", team="blue", gpus=1.0), 30)  # blue borrows
     plan = make_plan(snap)
-    enough = late and borrowed_elsewhere >= 2 * owed
+    enough = late and borrowed_elsewhere >= 2 * guaranteed
     assert len(plan.stops) == (8 if enough else 0)
     assert plan.reservations == ({"wk-1": ["m0", "m1"]} if enough else {})
 
 
-def test_room_that_is_being_made_for_a_gang_is_taken_by_nobody_else():
+def test_machines_reserved_for_a_gang_are_taken_by_no_other_job():
     small = policy_snapshot.Demand("wk-2", spec("wk-2", tasks=1), [0], 500.0, 60.0, {})
     capacities = [
         capacity("m0", reserved_for="wk-1", reserved_rank=1),
@@ -250,7 +255,7 @@
     ]
     urgent = policy_snapshot.Demand("wk-3", spec("wk-3", tasks=1, priority=Priority.HIGH), [0], 500.0, 60.0, {})
     assert make_plan(snapshot(capacities, [small, urgent])).starts == [("wk-3", [(0, "m0")])]
-    # Where its own room is not free yet, it stays kept: another gang that is refused changes nothing about that.
+    # Where its own machines are not free yet, they stay reserved, also when another gang is refused.
     capacities = [
         capacity("m0", reserved_for="wk-1", reserved_rank=1),
         full(
@@ -269,7 +274,7 @@
     assert not plan.starts and plan.reservations == {"wk-1": ["m0", "m1"]}
 
 
-def test_room_is_kept_for_a_time_and_then_not_again_at_once():
+def test_a_reservation_is_kept_for_a_time_and_then_not_renewed_at_once():
     site = settings()
     cluster = ClusterState(site, {"g4": TYPE}, 1)
     snapshot_builder = SnapshotBuilder(
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -162,7 +162,7 @@
 
 
 def plain_best(demand, capacities, placed, soon):
-    """The rule as it reads: of all rooms that fit and are allowed, the one preferred; the first of equals."""
+    """The rule as it reads: of all machines that fit and are allowed, the one preferred; the first of equals."""
     fits = [
         r
         for r in capacities
@@ -174,7 +174,7 @@
 
 
 @given(snapshots(), st.booleans())
-def test_the_ordered_search_finds_what_a_look_at_every_room_finds(snap, soon):
+def test_the_ordered_search_finds_what_a_full_scan_finds(snap, soon):
     for capacity in snap.capacities:
         capacity.images = {"img"} if capacity.name in ("m1", "m4") else set()
         if capacity.victims:
@@ -192,10 +192,10 @@
 
 
 @given(snapshots())
-def test_the_ordered_offers_stop_what_a_look_at_every_machine_would(snap):
+def test_the_ordered_preemption_candidates_stop_what_a_full_scan_would(snap):
     for demand in snap.demands:
         preemption = Preemption(snap.quota, policy_snapshot.Plan())
-        offers, placed = PreemptionCandidates(preemption, demand, snap.capacities), {}
+        candidates, placed = PreemptionCandidates(preemption, demand, snap.capacities), {}
         while True:
             plain = None
             for capacity in snap.capacities:
@@ -211,12 +211,12 @@
                         )
                         if plain is None or cost < plain[0]:
                             plain = cost, capacity
-            found = offers.preempt_cheapest(placed)
+            found = candidates.preempt_cheapest(placed)
             assert found is (plain[1] if plain else None)
             if found is None:
                 break
             found.allocate(demand.spec)
-            offers.changed(found)
+            candidates.changed(found)
             placed[found.zone] = placed.get(found.zone, 0) + 1
 
 
@@ -231,24 +231,24 @@
 
 @given(snapshots())
 def test_leaving_out_full_machines_changes_no_plan(snap):
-    before, roomy = make_plan(copy.deepcopy(snap)), PlacementState.with_free_gpus
+    before, with_free_gpus = make_plan(copy.deepcopy(snap)), PlacementState.with_free_gpus
     PlacementState.with_free_gpus = lambda placement, image, soon: (
         placement.running if image is None else placement.with_image(image)
     )  # type: ignore
     try:
         assert make_plan(snap) == before
     finally:
-        PlacementState.with_free_gpus = roomy  # type: ignore[method-assign]
+        PlacementState.with_free_gpus = with_free_gpus  # type: ignore[method-assign]
 
 
-def test_a_full_cluster_is_looked_through_once_for_jobs_that_are_alike():
-    """At 515 machines a cycle once took 5 s: every waiting task looked at every room. Counts looks, not seconds."""
-    looks = 0
+def test_a_full_cluster_is_searched_once_for_equal_jobs():
+    """At 515 machines a cycle once took 5 s: every waiting task searched every machine. Counts visits, not seconds."""
+    visits = 0
 
     class Counted(list):
         def __iter__(self):
-            nonlocal looks
-            looks += len(self)
+            nonlocal visits
+            visits += len(self)
             return super().__iter__()
 
     cluster = [full(f"m{i}", []) for i in range(100)]
@@ -262,7 +262,7 @@
             Search, "__init__", lambda self, demand, capacities, *a: init(self, demand, Counted(capacities), *a)
         )
         plan = make_plan(snapshot(cluster, demands))
-    assert len(plan.waiting) == 40 and looks <= 4 * len(cluster)
+    assert len(plan.waiting) == 40 and visits <= 4 * len(cluster)
 
 
 def capacity(name, zone="a", **changes):
@@ -300,7 +300,7 @@
 
 
 def test_a_gang_goes_to_the_zone_that_holds_its_image():
-    """A gang starts with its last task: in the roomiest zone it once fetched for 12 s and more."""
+    """A gang starts with its last task: in the zone with most free GPUs it once fetched for 12 s and more."""
     gang = policy_snapshot.Demand(
         "wk-1", spec("wk-1", tasks=2, gpus=2.0, kind=Kind.GANG, one_zone=True), [0, 1], 1000.0, 60.0, {}
     )
@@ -321,8 +321,8 @@
 
 def test_a_task_waits_while_its_slack_allows_and_is_rented_for_after():
     job = spec("wk-1", tasks=1, due_s=900.0)
-    patient = make_plan(snapshot([], [policy_snapshot.Demand("wk-1", job, [0], 1500.0, 60.0, {})]))
-    assert patient.rentals == [] and patient.waiting["wk-1"] == "slack"
+    waiting = make_plan(snapshot([], [policy_snapshot.Demand("wk-1", job, [0], 1500.0, 60.0, {})]))
+    assert waiting.rentals == [] and waiting.waiting["wk-1"] == "slack"
     due = make_plan(snapshot([], [policy_snapshot.Demand("wk-1", job, [0], 1100.0, 60.0, {})]))
     assert [(r.type, r.spot) for r in due.rentals] == [("g4", False)]
 
@@ -342,7 +342,7 @@
     assert [s[:2] for s in make_plan(snap).stops] == [("wk-8", 2)]
 
 
-def test_room_made_for_a_guarantee_is_not_taken_by_borrowed_work():
+def test_capacity_freed_for_a_guarantee_is_not_taken_by_borrowed_work():
     one = capacity("m")
     one.gpus = 1.0
     demands = [
@@ -352,8 +352,8 @@
     assert make_plan(snapshot([one], demands)).starts == [("wk-2", [(0, "m")])]
 
 
-def test_borrowed_work_of_high_priority_does_not_take_what_owed_work_would_take_back():
-    """A borrowing gang went first, by priority, and was then stopped by owed work, 75 times in 250 s."""
+def test_borrowed_work_of_high_priority_does_not_take_what_guaranteed_work_would_preempt():
+    """A borrowing gang went first, by priority, and was then stopped by work within a guarantee, 75 times in 250 s."""
     one = capacity("m")
     one.gpus = 2.0
     gang = policy_snapshot.Demand(
@@ -364,18 +364,18 @@
         60.0,
         {},
     )
-    owed = policy_snapshot.Demand(
+    guaranteed = policy_snapshot.Demand(
         "wk-2", spec("wk-2", tasks=1, due_s=900.0, priority=Priority.LOW), [0], 1900.0, 60.0, {}, within_guarantee=True
     )
-    assert make_plan(snapshot([one], [gang, owed])).starts == [("wk-2", [(0, "m")])]
+    assert make_plan(snapshot([one], [gang, guaranteed])).starts == [("wk-2", [(0, "m")])]
     busy = full(
         "m", [policy_snapshot.Victim("wk-8", n, Priority.LOW, "red", 5.0, 1.0, 20.0, 3.0, 1, True) for n in range(4)]
     )
     assert make_plan(snapshot([busy], [gang])).stops == []
 
 
-def test_only_what_frees_the_room_that_lacks_is_stopped():
-    """A guest's tasks without GPUs were stopped, 31 at a time, for a service that lacked one GPU beside them."""
+def test_only_tasks_that_free_a_missing_resource_are_stopped():
+    """Small tasks without GPUs were stopped, 31 at a time, for a service that lacked one GPU beside them."""
     small = [policy_snapshot.Victim("wk-7", n, Priority.LOW, "blue", 0.25, 0.0, 1.0, 1.0, 1) for n in range(31)]
     arrays = [
         policy_snapshot.Victim("wk-8", n, Priority.NORMAL, "blue", 5.0, g, 20.0, 9.0 + g, 1)
@@ -386,7 +386,7 @@
     assert [s[:2] for s in plan.stops] == [("wk-8", 1)]
 
 
-def test_a_teams_own_lower_work_gives_way_under_its_limit():
+def test_a_teams_own_lower_work_is_preempted_under_its_limit():
     """A service once waited 26 s behind its own team's array, which filled the team's limit."""
     busy = full(
         "m1", [policy_snapshot.Victim("wk-8", n, Priority.NORMAL, "red", 5.0, 1.0, 20.0, 3.0, 1) for n in range(4)]
@@ -397,7 +397,7 @@
     assert len(make_plan(snap).stops) == 1
 
 
-def test_room_under_a_limit_is_kept_for_the_work_it_was_made_for():
+def test_quota_freed_under_a_limit_is_reserved_for_the_preempting_work():
     busy = full(
         "m1", [policy_snapshot.Victim("wk-8", n, Priority.LOW, "red", 5.0, 1.0, 20.0, 3.0, 1) for n in range(4)]
     )
@@ -446,11 +446,11 @@
     assert plan.starts == [("wk-1", [(0, "m2")])] and plan.stops == []
     settled = [policy_snapshot.Victim("wk-8", 0, Priority.HIGH, "blue", 10.0, 4.0, 40.0, 5.0, 1)]
     assert len(make_plan(snapshot([full("m1", settled, images={"img"}), capacity("m2")], [demand])).stops) == 1
-    # Without any other room it gives way.
+    # Without any other capacity it is preempted.
     assert len(make_plan(snapshot([full("m1", gang, images={"img"})], [demand])).stops) == 1
 
 
-def test_the_first_rush_does_not_size_the_reserve():
+def test_the_first_rush_does_not_size_the_warm_pool():
     rush = [(0.5, 2)] * 19
     assert warm_pool_size(rush, 5.0, 45.0, 2.0) == 2
     assert warm_pool_size(rush, 200.0, 45.0, 2.0) == 2
@@ -459,8 +459,8 @@
     assert warm_pool_size(steady, 300.0, 45.0, 2.0) > warm_pool_size(steady, 300.0, 45.0, 0.0)
 
 
-def test_dear_machines_are_rented_for_cheap_work_only_when_its_slack_is_gone():
-    """Once, when cheap machines ran short, 20 dear ones were rented for arrays with minutes of slack."""
+def test_ordinary_machines_are_rented_for_spot_work_only_when_its_slack_is_exhausted():
+    """Once, when spot machines ran short, 20 ordinary ones were rented for arrays with minutes of slack."""
     job = spec("wk-1", tasks=1, due_s=900.0, spot=True)
     for due, rented in ((1900.0, []), (1100.0, [False])):
         snap = snapshot([], [policy_snapshot.Demand("wk-1", job, [0], due, 60.0, {}, within_guarantee=True)])
