--- a/winglift/policy/gangs.py
+++ b/winglift/policy/gangs.py
@@ -3,14 +3,20 @@
 from __future__ import annotations
 
 from collections.abc import Hashable
+from typing import NamedTuple
 
 from .. import constants
 from .placement_state import PlacementState
 from .search import Search
 from .snapshot import Demand, FreeCapacity, Victim, fetch_s
 
-# The cost of using a machine (s), the machine, and the tasks to preempt there.
-Option = tuple[float, FreeCapacity, list[Victim]]
+
+class Option(NamedTuple):
+    """One machine that a task of a gang could use."""
+
+    cost: float  # s: work lost by preemption, and fetch
+    capacity: FreeCapacity
+    victims: list[Victim]  # to preempt there
 
 
 class GangPlacer:
@@ -130,8 +136,8 @@
             return False
         best = self._best_choice(demand, warm, displace)
         if best is not None and displace:
-            chosen = [capacity for _, capacity, _ in best]
-            moved = sum(victim.gpus for _, _, victims in best for victim in victims if victim.within_guarantee)
+            chosen = [option.capacity for option in best]
+            moved = sum(victim.gpus for option in best for victim in option.victims if victim.within_guarantee)
             if preemption.replaceable(self.placement.running, chosen) - self._displaced < moved:
                 best = None
             else:
@@ -139,11 +145,11 @@
         if best is None:
             self.placement.failed_searches.add(where, spec, tasks)
             return False
-        for _, capacity, chosen_victims in best:
-            for victim in chosen_victims:
-                preemption.stop(victim, capacity, demand)
-            capacity.allocate(spec)
-        self.placement.plan.reservations[demand.ref] = sorted({capacity.name for _, capacity, _ in best})
+        for option in best:
+            for victim in option.victims:
+                preemption.stop(victim, option.capacity, demand)
+            option.capacity.allocate(spec)
+        self.placement.plan.reservations[demand.ref] = sorted({option.capacity.name for option in best})
         return True
 
     def _best_choice(self, demand: Demand, warm: bool, displace: bool) -> list[Option] | None:
@@ -169,7 +175,7 @@
             for capacity in capacities:
                 fetch = fetch_s(capacity, spec) * weight
                 if capacity.fits_after_stops(spec):
-                    options.append((fetch, capacity, []))
+                    options.append(Option(fetch, capacity, []))
                     continue
                 # To spare a fetch no other gang loses its start.
                 chosen = (
@@ -183,10 +189,10 @@
                         + (constants.DISPLACE_S if victim.within_guarantee else 0.0)
                         for victim in chosen
                     )
-                    options.append((cost + 1.0 + fetch, capacity, chosen))
-            options.sort(key=lambda option: option[0])
+                    options.append(Option(cost + 1.0 + fetch, capacity, chosen))
+            options.sort(key=lambda option: option.cost)
             if len(options) >= tasks:
-                cost = sum(option[0] for option in options[:tasks])
+                cost = sum(option.cost for option in options[:tasks])
                 if best is None or cost < best[0]:
                     best = cost, options[:tasks]
         return best[1] if best is not None else None
--- a/winglift/policy/placement_state.py
+++ b/winglift/policy/placement_state.py
@@ -65,20 +65,20 @@
 
     def __init__(self, placement: PlacementState) -> None:
         self.placement = placement
-        self.spent: dict[str, tuple[float, float]] = {}  # team: amounts already given in this cycle
+        self.spent: dict[str, tuple[float, float]] = {}  # team: CPUs and GPUs allocated in this cycle
 
     def tasks_allowed(self, demand: Demand) -> int:
         """How many tasks of this demand the team's limit still allows."""
         spec, quota = demand.spec, self.placement.snapshot.quota
-        given = self.spent.get(spec.team, (0.0, 0.0))
+        spent_cpus, spent_gpus = self.spent.get(spec.team, (0.0, 0.0))
         team = quota.teams.get(spec.team)
         if team is None:
             return 0
         used = quota.used[spec.team]
         most = 1_000_000
         for limit, per_task, in_use in (
-            (team.cpus_max, spec.cpus, used.cpus + given[0]),
-            (team.gpus_max, spec.gpus, used.gpus + given[1]),
+            (team.cpus_max, spec.cpus, used.cpus + spent_cpus),
+            (team.gpus_max, spec.gpus, used.gpus + spent_gpus),
         ):
             if limit > 0 and per_task > 0:
                 most = min(most, math.floor((limit - in_use + AMOUNT_TOLERANCE) / per_task))
@@ -100,9 +100,10 @@
         if team is None or spec.priority.rank == 0:
             return
         candidates = self._lower_work_of_team(demand)
-        used, given = snapshot.quota.used[spec.team], self.spent.get(spec.team, (0.0, 0.0))
-        gpus = used.gpus + given[1] + spec.gpus * tasks - team.gpus_max if team.gpus_max > 0 else 0.0
-        cpus = used.cpus + given[0] + spec.cpus * tasks - team.cpus_max if team.cpus_max > 0 else 0.0
+        used = snapshot.quota.used[spec.team]
+        spent_cpus, spent_gpus = self.spent.get(spec.team, (0.0, 0.0))
+        gpus = used.gpus + spent_gpus + spec.gpus * tasks - team.gpus_max if team.gpus_max > 0 else 0.0
+        cpus = used.cpus + spent_cpus + spec.cpus * tasks - team.cpus_max if team.cpus_max > 0 else 0.0
         gpus -= snapshot.stopping_gpus.get(spec.team, 0.0)
         cpus -= snapshot.stopping_cpus.get(spec.team, 0.0)
         if (
--- a/winglift/policy/plan.py
+++ b/winglift/policy/plan.py
@@ -19,7 +19,7 @@
 from .replica_relocation import allocate_elsewhere, relocate_replicas
 from .reservation import reserve_for_largest
 from .search import Search
-from .snapshot import Demand, FreeCapacity, Plan, Snapshot, fetch_s
+from .snapshot import Demand, FreeCapacity, JobStart, Plan, ReplicaRef, Snapshot, TaskPlacement, fetch_s
 from .warm_pool import WarmPool
 
 # A group of machines to search: with the job's image, all running, or booting.
@@ -53,7 +53,7 @@
         self.placement = placement
         self.demand = demand
         self.placed = dict(demand.zones)
-        self.starts: list[tuple[int, str]] = []
+        self.starts: list[TaskPlacement] = []
         self.reserved_count = 0
         self._searches: dict[tuple[MachineGroup, bool], Search] = {}
         self._all_candidates: dict[MachineGroup, PreemptionCandidates] = {}
@@ -145,7 +145,7 @@
                 return True
         if capacity is not None:
             self._start_on(capacity)
-            self.starts.append((index, capacity.name))
+            self.starts.append(TaskPlacement(index, capacity.name))
             return True
         capacity = self._released_soon("running")
         if capacity is not None:
@@ -188,7 +188,7 @@
         # Tasks that wait for reserved capacity keep their part of the team's limit as well.
         limits.spend(demand, len(self.starts) + self.reserved_count)
         if self.starts:
-            plan.starts.append((demand.ref, self.starts))
+            plan.starts.append(JobStart(demand.ref, self.starts))
 
 
 def place_gang(placement: PlacementState, limits: QuotaBudget, gangs: GangPlacer, demand: Demand) -> None:
@@ -234,8 +234,8 @@
     if found is None:
         return False
     limits.spend(demand, len(found))
-    machines = [capacity.name for capacity in found]
-    plan.starts.append((demand.ref, list(zip(demand.indices, machines, strict=True))))
+    placements = [TaskPlacement(index, capacity.name) for index, capacity in zip(demand.indices, found, strict=True)]
+    plan.starts.append(JobStart(demand.ref, placements))
     return True
 
 
@@ -313,7 +313,7 @@
         ).preempt_cheapest(demand.zones)
         if capacity is not None:
             capacity.allocate(demand.spec)
-            placement.plan.image_restarts.append((demand.ref, stalled.index))
+            placement.plan.image_restarts.append(ReplicaRef(demand.ref, stalled.index))
 
 
 def make_plan(snapshot: Snapshot) -> Plan:
--- a/winglift/policy/preemption.py
+++ b/winglift/policy/preemption.py
@@ -7,7 +7,7 @@
 
 from .. import constants
 from ..model.quota import AMOUNT_TOLERANCE, QuotaUsage
-from .snapshot import Demand, FreeCapacity, Plan, Victim, fetch_s, zone_allowed
+from .snapshot import Demand, FreeCapacity, Plan, TaskStop, Victim, fetch_s, zone_allowed
 
 # What stopping the tasks costs (precedence, seconds lost), the machine's position, a serial number that makes entries
 # distinct, the machine, its version when the entry was made, and the tasks to stop. A plain tuple: it is made for
@@ -171,7 +171,7 @@
     def stop(self, victim: Victim, capacity: FreeCapacity, demand: Demand) -> None:
         """Stop a task for this demand; its resources count as releasing."""
         self.stopped.add((victim.ref, victim.index))
-        self.plan.stops.append((victim.ref, victim.index, demand.ref))
+        self.plan.stops.append(TaskStop(victim.ref, victim.index, demand.ref))
         capacity.release_after_stop(victim)
 
 
--- a/winglift/policy/replica_relocation.py
+++ b/winglift/policy/replica_relocation.py
@@ -12,7 +12,7 @@
 from . import cost_model
 from .placement_state import PlacementState
 from .search import Search
-from .snapshot import Demand, FreeCapacity, MovableReplica
+from .snapshot import Demand, FreeCapacity, MovableReplica, ReplicaRef
 
 
 def _fits_without(capacity: FreeCapacity, spec: Submission, replicas: list[MovableReplica]) -> bool:
@@ -76,7 +76,7 @@
         return False
     for replica, target in best[2]:
         target.allocate(replica.spec)
-        placement.plan.migrations.append((replica.ref, replica.index))
+        placement.plan.migrations.append(ReplicaRef(replica.ref, replica.index))
     placement.plan.reservations[demand.ref] = [best[1].name]
     return True
 
--- a/winglift/policy/snapshot.py
+++ b/winglift/policy/snapshot.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from .. import constants
 from ..model.entities import Resources
@@ -317,18 +318,46 @@
         return self.zones_with_controllers is not None and zone not in self.zones_with_controllers
 
 
+class TaskPlacement(NamedTuple):
+    """A task of a job, by its index, and the machine it starts on."""
+
+    task_index: int
+    machine: str
+
+
+class JobStart(NamedTuple):
+    """The tasks of one job that start in this cycle."""
+
+    ref: str
+    placements: list[TaskPlacement]
+
+
+class TaskStop(NamedTuple):
+    """A task that is preempted, and the job it is preempted for."""
+
+    ref: str
+    task_index: int
+    preempted_for: str
+
+
+class ReplicaRef(NamedTuple):
+    """A replica, by its job and its index."""
+
+    ref: str
+    task_index: int
+
+
 @dataclass(slots=True)
 class Plan:
     """The decisions of one cycle."""
 
-    starts: list[tuple[str, list[tuple[int, str]]]] = field(default_factory=list)
-    stops: list[tuple[str, int, str]] = field(default_factory=list)  # job, task, the job it is preempted for
+    starts: list[JobStart] = field(default_factory=list)
+    stops: list[TaskStop] = field(default_factory=list)
     # Gang: the machines reserved for it while preempted tasks stop.
     reservations: dict[str, list[str]] = field(default_factory=dict)
-    image_restarts: list[tuple[str, int]] = field(default_factory=list)  # job, task: to be started beside its image
-    migrations: list[tuple[str, int]] = field(
-        default_factory=list
-    )  # job, task: replicas that a gang's start requires to move
+    image_restarts: list[ReplicaRef] = field(default_factory=list)  # to be started beside their image
+    # Replicas that must move for a gang to start.
+    migrations: list[ReplicaRef] = field(default_factory=list)
     rentals: list[Rental] = field(default_factory=list)
     waiting: dict[str, str] = field(default_factory=dict)  # job: why its tasks wait
     idle_machines: set[str] = field(default_factory=set)  # empty machines that may be returned
