--- a/winglift/policy/gangs.py
+++ b/winglift/policy/gangs.py
@@ -1,15 +1,22 @@
-"""Gangs: places for all tasks at once, or for none."""
+"""Gang scheduling: places for all tasks at once, or for none."""
 
 from __future__ import annotations
 
 from collections.abc import Hashable
+from typing import NamedTuple
 
 from .. import constants
 from .placement_state import PlacementState
 from .search import Search
 from .snapshot import Demand, FreeCapacity, Victim, fetch_s
 
-Option = tuple[float, FreeCapacity, list[Victim]]  # what a machine costs, and what must stop there
+
+class Option(NamedTuple):
+    """One machine that a task of a gang could use."""
+
+    cost: float  # s: work lost by preemption, and fetch
+    capacity: FreeCapacity
+    victims: list[Victim]  # to preempt there
 
 
 class GangPlacer:
@@ -18,32 +25,32 @@
     def __init__(self, placement: PlacementState) -> None:
         self.placement = placement
         self._chosen: dict[Hashable, dict[str, tuple[int, list[Victim] | None]]] = {}
-        self._displaced = 0.0  # GPUs of owed work that must find another place in this cycle
+        self._displaced = 0.0  # GPUs of work within guarantees that this cycle displaces
 
     def _zones(self, demand: Demand) -> list[str | None]:
-        """Where the whole gang may go: each zone by itself, the one with most room first, or anywhere."""
+        """Where the whole gang may go: each zone by itself, the one with most free GPUs first, or anywhere (None)."""
         if not demand.spec.one_zone:
             return [None]
-        free = {z: 0.0 for t in self.placement.snapshot.types.values() for z in t.zones}
+        free = {zone: 0.0 for mtype in self.placement.snapshot.types.values() for zone in mtype.zones}
         for capacity in self.placement.booting:
             free.setdefault(capacity.zone, 0.0)
         for capacity in self.placement.running:
             free[capacity.zone] = free.get(capacity.zone, 0.0) + capacity.gpus
-        by_room = sorted(free, key=lambda z: (-free[z], z))
-        return list(by_room)
+        by_free_gpus = sorted(free, key=lambda zone: (-free[zone], zone))
+        return list(by_free_gpus)
 
     def _allowed(self, demand: Demand, capacities: list[FreeCapacity]) -> dict[str | None, list[FreeCapacity]]:
-        """The rooms that the gang's job allows, per zone, or all under None."""
+        """The machines that the gang's job allows, per zone, or all under None."""
         found: dict[str | None, list[FreeCapacity]] = {}
         for capacity in capacities:
             if demand.allows(capacity):
                 found.setdefault(capacity.zone if demand.spec.one_zone else None, []).append(capacity)
         return found
 
-    def allocate_all(self, demand: Demand, soon: bool, coming: bool = False) -> list[FreeCapacity] | None:
-        """Places for all tasks of a gang, taken; or None with nothing taken."""
+    def allocate_all(self, demand: Demand, soon: bool, include_booting: bool = False) -> list[FreeCapacity] | None:
+        """Allocate places for all tasks of a gang, or nothing (None)."""
         placement, spec, tasks = self.placement, demand.spec, len(demand.indices)
-        stage = placement.search_stage(soon, coming)
+        stage = placement.search_stage(soon, include_booting)
         where = (
             "gang",
             demand.ref if demand.has_reservation else "",
@@ -57,18 +64,21 @@
         )
         if placement.failed_searches.known_to_fail(where, spec, tasks):
             return None
-        capacities = placement.running + placement.booting if coming else placement.running
-        allowed = self._allowed(demand, [r for r in capacities if (r.fits_after_stops(spec) if soon else r.fits(spec))])
+        capacities = placement.running + placement.booting if include_booting else placement.running
+        allowed = self._allowed(
+            demand,
+            [capacity for capacity in capacities if (capacity.fits_after_stops(spec) if soon else capacity.fits(spec))],
+        )
         best: tuple[float, list[FreeCapacity]] | None = None
         for zone in self._zones(demand):
             candidates = allowed.get(zone, [])
-            if sum(r.slots(spec, soon) for r in candidates) < tasks:
+            if sum(capacity.slots(spec, soon) for capacity in candidates) < tasks:
                 continue
             taken = self._allocate_found(demand, Search(demand, candidates, placement.snapshot.now, soon))
             self.deallocate_all(demand, taken)
             if len(taken) == tasks:
-                # It starts once the last task has its image: a zone whose machines hold it comes before a roomier one.
-                slowest = max(fetch_s(r, spec) for r in taken)
+                # It starts once the last task has its image: a zone whose machines hold it comes before others.
+                slowest = max(fetch_s(capacity, spec) for capacity in taken)
                 if best is None or slowest < best[0]:
                     best = slowest, taken
                 if slowest <= 0:
@@ -83,7 +93,7 @@
 
     @staticmethod
     def _allocate_found(demand: Demand, search: Search) -> list[FreeCapacity]:
-        """As many places as there are, up to the gang's size."""
+        """Allocate as many places as there are, up to the gang's size."""
         placed = dict(demand.zones)
         taken: list[FreeCapacity] = []
         for _ in demand.indices:
@@ -97,8 +107,11 @@
         return taken
 
     def fetch_too_long(self, demand: Demand, capacities: list[FreeCapacity]) -> bool:
-        """Would a gang that is due now spend long on fetching its image there? It starts with the last of its tasks."""
-        return demand.spec.due_s is None and max(fetch_s(r, demand.spec) for r in capacities) > constants.FETCH_WORTH_S
+        """Whether a gang that is due now would fetch its image for long there. It starts with the last of its tasks."""
+        return (
+            demand.spec.due_s is None
+            and max(fetch_s(capacity, demand.spec) for capacity in capacities) > constants.FETCH_WORTH_S
+        )
 
     def deallocate_all(self, demand: Demand, capacities: list[FreeCapacity]) -> None:
         """Give back places that were taken."""
@@ -106,10 +119,10 @@
             capacity.deallocate(demand.spec)
 
     def preempt(self, demand: Demand, warm: bool = False, displace: bool = False) -> bool:
-        """Make room for a whole gang by stopping other work, or stop nothing.
+        """Preempt other work for a whole gang, or nothing.
 
-        `warm`: only beside its image. `displace`: also where owed work must find another place. The machines are kept
-        for the gang until it starts.
+        `warm`: only on machines with its image. `displace`: also work within a guarantee, which is placed elsewhere.
+        The machines are reserved for the gang until it starts.
         """
         preemption, spec, tasks = self.placement.preemption, demand.spec, len(demand.indices)
         where = (
@@ -123,8 +136,8 @@
             return False
         best = self._best_choice(demand, warm, displace)
         if best is not None and displace:
-            chosen = [capacity for _, capacity, _ in best]
-            moved = sum(v.gpus for _, _, victims in best for v in victims if v.within_guarantee)
+            chosen = [option.capacity for option in best]
+            moved = sum(victim.gpus for option in best for victim in option.victims if victim.within_guarantee)
             if preemption.replaceable(self.placement.running, chosen) - self._displaced < moved:
                 best = None
             else:
@@ -132,24 +145,27 @@
         if best is None:
             self.placement.failed_searches.add(where, spec, tasks)
             return False
-        for _, capacity, chosen_victims in best:
-            for victim in chosen_victims:
-                preemption.stop(victim, capacity, demand)
-            capacity.allocate(spec)
-        self.placement.plan.reservations[demand.ref] = sorted({capacity.name for _, capacity, _ in best})
+        for option in best:
+            for victim in option.victims:
+                preemption.stop(victim, option.capacity, demand)
+            option.capacity.allocate(spec)
+        self.placement.plan.reservations[demand.ref] = sorted({option.capacity.name for option in best})
         return True
 
     def _best_choice(self, demand: Demand, warm: bool, displace: bool) -> list[Option] | None:
-        """The cheapest machines of one zone, one for each task. A gang that fits several on one is found by `rooms`."""
+        """The cheapest machines of one zone, one for each task. Several tasks on one machine: see `allocate_all`."""
         preemption, spec, tasks = self.placement.preemption, demand.spec, len(demand.indices)
         # A start that waits for a fetch comes later than one that waits for a stop.
         weight = constants.FETCH_WEIGHT if spec.due_s is None else 1.0
-        rooms_up = self.placement.with_image(spec.image) if warm else self.placement.running
-        might = {r.name for r in preemption.machines_with_enough(demand, rooms_up)}
-        allowed = self._allowed(demand, [r for r in rooms_up if r.name in might or r.fits_after_stops(spec)])
-        # Gangs are of few sizes: what one has found out about a machine holds for the next, until its room changes.
+        running = self.placement.with_image(spec.image) if warm else self.placement.running
+        preemptible = {capacity.name for capacity in preemption.machines_with_enough(demand, running)}
+        allowed = self._allowed(
+            demand,
+            [capacity for capacity in running if capacity.name in preemptible or capacity.fits_after_stops(spec)],
+        )
+        # Gangs are of few sizes: the victims found for one on a machine hold for the next, until the machine changes.
         kind = preemption.equivalence_class(demand), spec.gpus, spec.cpus, spec.memory_gb, warm, displace
-        kept = self._chosen.setdefault(kind, {})
+        victims_by_machine = self._chosen.setdefault(kind, {})
         best: tuple[float, list[Option]] | None = None
         for zone in self._zones(demand):
             capacities = allowed.get(zone, [])
@@ -159,19 +175,24 @@
             for capacity in capacities:
                 fetch = fetch_s(capacity, spec) * weight
                 if capacity.fits_after_stops(spec):
-                    options.append((fetch, capacity, []))
+                    options.append(Option(fetch, capacity, []))
                     continue
                 # To spare a fetch no other gang loses its start.
-                chosen = self._victims(demand, capacity, warm, displace, kept) if capacity.preemptible_tasks else None
+                chosen = (
+                    self._victims(demand, capacity, warm, displace, victims_by_machine)
+                    if capacity.preemptible_tasks
+                    else None
+                )
                 if chosen:
                     cost = sum(
-                        v.lost_work_s * v.gang_size + (constants.DISPLACE_S if v.within_guarantee else 0.0)
-                        for v in chosen
+                        victim.lost_work_s * victim.gang_size
+                        + (constants.DISPLACE_S if victim.within_guarantee else 0.0)
+                        for victim in chosen
                     )
-                    options.append((cost + 1.0 + fetch, capacity, chosen))
-            options.sort(key=lambda o: o[0])
+                    options.append(Option(cost + 1.0 + fetch, capacity, chosen))
+            options.sort(key=lambda option: option.cost)
             if len(options) >= tasks:
-                cost = sum(o[0] for o in options[:tasks])
+                cost = sum(option.cost for option in options[:tasks])
                 if best is None or cost < best[0]:
                     best = cost, options[:tasks]
         return best[1] if best is not None else None
@@ -182,21 +203,23 @@
         capacity: FreeCapacity,
         warm: bool,
         displace: bool,
-        kept: dict[str, tuple[int, list[Victim] | None]],
+        victims_by_machine: dict[str, tuple[int, list[Victim] | None]],
     ) -> list[Victim] | None:
-        found = kept.get(capacity.name)
+        found = victims_by_machine.get(capacity.name)
         if found is None or found[0] != capacity.version:
-            chosen = self.placement.preemption.victims(demand, capacity, frail=not warm, displace=displace)
-            found = kept[capacity.name] = capacity.version, chosen
+            chosen = self.placement.preemption.victims(
+                demand, capacity, allow_gang_start_loss=not warm, displace=displace
+            )
+            found = victims_by_machine[capacity.name] = capacity.version, chosen
         return found[1]
 
     def rent(self, demand: Demand) -> bool:
-        """Rent what a gang lacks in the zone where it lacks least."""
+        """Rent the missing machines of a gang in the zone where fewest are missing."""
         placement, spec = self.placement, demand.spec
-        mark = placement.renting.checkpoint()
+        checkpoint = placement.renting.checkpoint()
         known = placement.running + placement.booting
-        allowed = self._allowed(demand, [r for r in known if r.fits_after_stops(spec)])
-        zones = sorted(self._zones(demand), key=lambda z: (-len(allowed.get(z, [])), z or ""))
+        allowed = self._allowed(demand, [capacity for capacity in known if capacity.fits_after_stops(spec)])
+        zones = sorted(self._zones(demand), key=lambda zone: (-len(allowed.get(zone, [])), zone or ""))
         for zone in zones:
             taken = self._allocate_found(
                 demand, Search(demand, allowed.get(zone, []), placement.snapshot.now, soon=True)
@@ -215,5 +238,5 @@
             if len(taken) == len(demand.indices):
                 return True
             self.deallocate_all(demand, taken)
-            placement.renting.rollback(mark)
+            placement.renting.rollback(checkpoint)
         return False
