--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -18,6 +18,7 @@
 from winglift.duties.intent_log import FenceLost, IntentLog
 from winglift.model.leadership import Leadership, Role, RoleEvent
 from winglift.model.records import InvalidRecord
+from winglift.model.task_state import InvalidTransition
 from winglift.store.client import Health, OutcomeUnknown, RequestRejected
 from winglift.wire import state as state_messages
 from winglift.wire.cloud import Rent
@@ -84,7 +85,7 @@
         made = ExternalOperation("vm-1", 0.0, state=state)
         try:
             after = made.move(event, 5.0)
-        except external_operation.InvalidOperationTransition:
+        except InvalidTransition:
             assert made.state is state and made.ended_at == math.inf
             continue
         if after is external_operation.OperationState.SENT and state is external_operation.OperationState.INTENDED:
--- a/winglift/duties/external_operation.py
+++ b/winglift/duties/external_operation.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
+from ..model.task_state import InvalidTransition
 from ..wire.cloud import Rent
 
 
@@ -34,10 +35,6 @@
     WITHDRAW = auto()
 
 
-class InvalidOperationTransition(Exception):
-    """An event that the state does not allow."""
-
-
 _S, _E = OperationState, OperationEvent
 TRANSITIONS: dict[tuple[OperationState, OperationEvent], OperationState] = {
     (_S.INTENDED, _E.RECORD): _S.RECORDED,
@@ -74,7 +71,7 @@
         try:
             self.state = TRANSITIONS[self.state, event]
         except KeyError:
-            raise InvalidOperationTransition(f"{event.name} in {self.state.name} of {self.name}") from None
+            raise InvalidTransition(f"{event.name} in {self.state.name} of {self.name}") from None
         if self.state not in OPEN and self.ended_at == math.inf:
             self.ended_at = now
         return self.state
--- a/winglift/store/client.py
+++ b/winglift/store/client.py
@@ -20,7 +20,11 @@
 log = logging.getLogger(__name__)
 
 
-class RequestRejected(Exception):
+class StateServiceError(Exception):
+    """A request to the state service that has not brought the answer asked for."""
+
+
+class RequestRejected(StateServiceError):
     """The request was certainly not executed: 429, 503, no connection, or no budget left."""
 
 
@@ -28,16 +32,16 @@
     """The service says that the request breaks a limit of its own."""
 
 
-class OutcomeUnknown(Exception):
+class OutcomeUnknown(StateServiceError):
     """No answer: the request may have been executed, or may yet be."""
 
 
-class LeaseExpired(Exception):
+class LeaseExpired(StateServiceError):
     """The lease of a request has ended."""
 
 
-class RevisionCompacted(Exception):
-    """The service no longer keeps the changes asked for."""
+class RevisionCompacted(StateServiceError):
+    """The service no longer keeps the changes since the revision asked for."""
 
 
 class Health(Enum):
