--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -19,7 +19,7 @@
 from winglift.model.leadership import Leadership, Role, RoleEvent
 from winglift.model.records import InvalidRecord
 from winglift.model.task_state import InvalidTransition
-from winglift.store.client import Health, OutcomeUnknown, RequestRejected
+from winglift.store.client import Health, OutcomeUnknown, RequestRejected, StateClient
 from winglift.wire import state as state_messages
 from winglift.wire.cloud import Rent
 
@@ -143,6 +143,9 @@
         self.late: list[state_messages.Transaction] = []
         self.writes = 0
 
+    _limits = LIMITS
+    has_spare_writes = StateClient.has_spare_writes
+
     def health(self) -> Health:
         return Health.GOOD
 
--- a/tests/test_successors.py
+++ b/tests/test_successors.py
@@ -24,7 +24,7 @@
 from winglift.model.record_application import apply_record
 from winglift.policy.failure_detector import FailureDetector
 from winglift.store.batcher import pack
-from winglift.store.client import Health
+from winglift.store.client import Health, StateClient
 from winglift.store.election import Election
 from winglift.store.image_cache_snapshots import ImageCacheSnapshots
 from winglift.wire import state as state_messages
@@ -254,6 +254,9 @@
         def health(self):
             return Health.GOOD
 
+        _limits = settings().settings.state
+        has_spare_writes = StateClient.has_spare_writes
+
         def writes_free(self):
             return free
 
--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -15,6 +15,7 @@
 from ..duties.duty import Duties, DutyName, DutyState
 from ..duties.garbage_collection import GarbageCollector, ImageCacheSweeper
 from ..duties.intent_log import IntentLog
+from ..duties.intent_record import IntentRecord
 from ..model import records
 from ..model.cluster_state import ClusterState
 from ..model.job_state import JobState
@@ -71,7 +72,7 @@
         self.cluster = ClusterState(settings, types, self.term)
         self.duties = Duties(self.leadership)
         lag_s = settings.settings.cloud.list_lag_s
-        self.intent_log = IntentLog(state, settings.settings.state, self.duties.fence, lag_s)
+        self.intent_log = IntentLog(state, settings.settings.state, self.duties.fence, lag_s, self._add_failover_hints)
         self.batcher = Batcher(state, settings.settings.state, self.cluster, self.duties.fence)
         self.inventory = Inventory(cloud, self.cluster, lag_s, self.intent_log)
         self.image_cache_snapshots = ImageCacheSnapshots(
@@ -85,9 +86,6 @@
         self.plan_executor = PlanExecutor(self.cluster, self.batcher, self.snapshot_builder)
         self.drainer = Drainer(self.cluster, self.inventory, script, settings.settings.workers)
         self.failover_hints = FailoverHints(self.cluster, self.inventory, self.drainer, self.snapshot_builder)
-        self.intent_log.add_failover_hints = lambda record: self.failover_hints.add_hints(
-            record, monotonic_time(), wall_time()
-        )
         self.failure_detector = FailureDetector(
             self.cluster,
             settings.settings.workers,
@@ -139,6 +137,9 @@
         self.prober.stop()
         self.image_cache_snapshots.stop()
 
+    def _add_failover_hints(self, record: IntentRecord) -> None:
+        self.failover_hints.add_hints(record, monotonic_time(), wall_time())
+
     async def _load_image_caches(self) -> None:
         """What the leader before knew of images, if it could not tell: all nodes had ended."""
         if not self.cluster.inherited_images:
--- a/winglift/duties/garbage_collection.py
+++ b/winglift/duties/garbage_collection.py
@@ -17,7 +17,7 @@
 from ..model import image_cache_record
 from ..model.cluster_state import ClusterState
 from ..net.runtime import monotonic_time
-from ..store.client import Health, LeaseExpired, OutcomeUnknown, RequestRejected, StateClient
+from ..store.client import LeaseExpired, OutcomeUnknown, RequestRejected, StateClient
 from ..wire import state as state_messages
 from .duty import Duties, DutyName
 
@@ -63,10 +63,8 @@
 
     def _has_spare_budget(self) -> bool:
         """Is there budget that neither starts nor ends nor users need?"""
-        return (
-            self.duties.may_act(DutyName.GARBAGE_COLLECTION, monotonic_time())
-            and self.state.health() is Health.GOOD
-            and self.state.writes_free() >= self._limits.write_rps * constants.GC_WRITES_KEPT
+        return self.duties.may_act(DutyName.GARBAGE_COLLECTION, monotonic_time()) and self.state.has_spare_writes(
+            constants.GC_WRITES_KEPT
         )
 
     async def run(self) -> None:
--- a/winglift/duties/intent_log.py
+++ b/winglift/duties/intent_log.py
@@ -17,7 +17,7 @@
 from ..config.settings import State as Limits
 from ..model.records import LEADER_KEY, InvalidRecord
 from ..net.runtime import monotonic_time, wall_time
-from ..store.client import Health, InvalidRequest, LeaseExpired, OutcomeUnknown, RequestRejected, StateClient
+from ..store.client import InvalidRequest, LeaseExpired, OutcomeUnknown, RequestRejected, StateClient
 from ..wire import state as state_messages
 from ..wire.cloud import Rent
 from . import intent_record
@@ -31,10 +31,21 @@
     """Another node holds the leadership key: nothing can be recorded any more."""
 
 
+def _add_no_hints(record: intent_record.IntentRecord) -> None:
+    """Leave the record without failover hints."""
+
+
 class IntentLog:
     """The intent log: what is under way at the cloud, committed before it is sent."""
 
-    def __init__(self, state: StateClient, limits: Limits, fence: Fence, list_lag_s: float) -> None:
+    def __init__(
+        self,
+        state: StateClient,
+        limits: Limits,
+        fence: Fence,
+        list_lag_s: float,
+        add_failover_hints: Callable[[intent_record.IntentRecord], None] = _add_no_hints,
+    ) -> None:
         self.state = state
         self.fence = fence
         self.fence_lost = False  # the leadership key has another revision
@@ -42,10 +53,7 @@
         self.inherited = intent_record.IntentRecord(0.0, 0)  # as an earlier holder left it
         self.rentals: dict[str, ExternalOperation] = {}
         self.deletions: dict[str, ExternalOperation] = {}
-        self.add_failover_hints: Callable[[intent_record.IntentRecord], None] = lambda record: (
-            None
-        )  # fills in the moments worth knowing
-        self._limits = limits
+        self._add_failover_hints = add_failover_hints  # fills in the record's optional fields
         self._most_bytes = int(limits.value_kb * 1024) - constants.RECORD_SPARE_BYTES
         # Lists are up to twice their lag old: what ended longer ago is in every list that is asked for from now on.
         self._keep_s = 2 * list_lag_s + constants.INTENT_LOG_KEEP_MARGIN_S
@@ -83,21 +91,28 @@
             # What this holder has decided meanwhile, an earlier one has recorded already.
             operation = self.deletions.setdefault(name, ExternalOperation(name, now, inherited=True))
             operation.move(OperationEvent.RECORD, now)
-        for note in record.rentals:
-            if not (0 <= note.type < len(record.types) and 0 <= note.zone < len(record.zones)):
-                raise InvalidRecord(f"the book of duties: rental {note.name} names no type or zone")
-            request = Rent(note.name, record.types[note.type], record.zones[note.zone], bool(note.spot), note.count)
-            operation = ExternalOperation(
-                note.name, now - max(0.0, today - record.base_time - note.at_s), request, inherited=True
-            )
-            operation.move(OperationEvent.RECORD, now)
-            if note.machines is not None:
-                operation.machines = tuple(intent_record.unpack_names(note.machines))
-                operation.move(OperationEvent.SEND, now)
-                operation.move(OperationEvent.ANSWER, now)
-            self.rentals[note.name] = operation
+        for intent in record.rentals:
+            self.rentals[intent.name] = self._inherited_rental(record, intent, now, today)
         self.inherited = record
 
+    def _inherited_rental(
+        self, record: intent_record.IntentRecord, intent: intent_record.RentalIntent, now: float, today: float
+    ) -> ExternalOperation:
+        """A rental as an earlier holder recorded it. Raises InvalidRecord if its type or zone is not in the record."""
+        if not (0 <= intent.type < len(record.types) and 0 <= intent.zone < len(record.zones)):
+            raise InvalidRecord(f"the book of duties: rental {intent.name} names no type or zone")
+        request = Rent(
+            intent.name, record.types[intent.type], record.zones[intent.zone], bool(intent.spot), intent.count
+        )
+        intended_at = now - max(0.0, today - record.base_time - intent.at_s)
+        operation = ExternalOperation(intent.name, intended_at, request, inherited=True)
+        operation.move(OperationEvent.RECORD, now)
+        if intent.machines is not None:
+            operation.machines = tuple(intent_record.unpack_names(intent.machines))
+            operation.move(OperationEvent.SEND, now)
+            operation.move(OperationEvent.ANSWER, now)
+        return operation
+
     # -- writing -------------------------------------------------------------------------------
 
     def intend(self, operation: ExternalOperation) -> ExternalOperation:
@@ -144,8 +159,7 @@
                 await self._write(hurried=True)
             elif (
                 monotonic_time() - self._written_at >= constants.INTENT_LOG_WRITE_INTERVAL_S
-                and self.state.health() is Health.GOOD
-                and self.state.writes_free() >= self._limits.write_rps * constants.START_WRITES_KEPT
+                and self.state.has_spare_writes(constants.START_WRITES_KEPT)
             ):
                 await self._write(hurried=False)
 
@@ -223,27 +237,43 @@
     def _operations_to_keep(self) -> list[ExternalOperation]:
         """What the next page holds: all that is open, and what ended too lately for every list to show it."""
         now = monotonic_time()
-        found = [
-            e
-            for intent_log in (self.deletions, self.rentals)
-            for e in intent_log.values()
-            if e.is_open or (e.state is OperationState.SETTLED and now - e.ended_at < self._keep_s)
+        candidates = [
+            operation
+            for operations in (self.deletions, self.rentals)
+            for operation in operations.values()
+            if operation.is_open
+            or (operation.state is OperationState.SETTLED and now - operation.ended_at < self._keep_s)
         ]
-        if self._fits(found):
-            return found
-        # What is recorded and open always fits, as it did when it was recorded. Then what waits, in the order of
-        # asking, then what has ended, the latest first.
-        kept = [e for e in found if e.is_open and e.state is not OperationState.INTENDED]
-        rest = sorted((e for e in found if e.state is OperationState.INTENDED), key=lambda e: e.intended_at)
-        rest += sorted((e for e in found if not e.is_open), key=lambda e: -e.ended_at)
-        low, high = 0, len(rest)
+        if self._fits(candidates):
+            return candidates
+        required, optional = self._by_priority(candidates)
+        return required + optional[: self._count_that_fits(required, optional)]
+
+    def _by_priority(
+        self, operations: list[ExternalOperation]
+    ) -> tuple[list[ExternalOperation], list[ExternalOperation]]:
+        """The operations that the record must hold, and the others in the order in which they are added to it.
+
+        What is recorded and open always fits, as it did when it was recorded. Then what waits, in the order of asking,
+        then what has ended, the latest first.
+        """
+        required = [e for e in operations if e.is_open and e.state is not OperationState.INTENDED]
+        intended = [e for e in operations if e.state is OperationState.INTENDED]
+        ended = [e for e in operations if not e.is_open]
+        intended.sort(key=lambda operation: operation.intended_at)
+        ended.sort(key=lambda operation: -operation.ended_at)
+        return required, intended + ended
+
+    def _count_that_fits(self, required: list[ExternalOperation], optional: list[ExternalOperation]) -> int:
+        """How many of the optional operations, from the first on, fit beside the required ones: a binary search."""
+        low, high = 0, len(optional)
         while low < high:
             middle = (low + high + 1) // 2
-            if self._fits(kept + rest[:middle]):
+            if self._fits(required + optional[:middle]):
                 low = middle
             else:
                 high = middle - 1
-        return kept + rest[:low]
+        return low
 
     def _fits(self, operations: list[ExternalOperation]) -> bool:
         return (
@@ -252,25 +282,14 @@
         )
 
     def _record_without_hints(self, operations: list[ExternalOperation]) -> intent_record.IntentRecord:
-        now, since = monotonic_time(), wall_time() - self._base
+        now, since_base = monotonic_time(), wall_time() - self._base
         record = intent_record.IntentRecord(self._base, self.fence.term)
         types: dict[str, int] = {}
         zones: dict[str, int] = {}
         for operation in operations:
-            request = operation.request
-            if request is None:
-                continue
-            record.rentals.append(
-                intent_record.RentalIntent(
-                    operation.name,
-                    types.setdefault(request.type, len(types)),
-                    zones.setdefault(request.zone, len(zones)),
-                    int(request.spot),
-                    request.count,
-                    round(since - (now - operation.intended_at)),
-                    intent_record.pack_names(operation.machines) if operation.state is OperationState.SETTLED else None,
-                )
-            )
+            if operation.request is not None:
+                intended_at_s = round(since_base - (now - operation.intended_at))
+                record.rentals.append(_rental_intent(operation, operation.request, intended_at_s, types, zones))
         record.types, record.zones = list(types), list(zones)
         record.deletions = intent_record.pack_names(e.name for e in operations if e.request is None)
         return record
@@ -278,7 +297,22 @@
     def _encode_record(self, operations: list[ExternalOperation]) -> bytes:
         record = self._record_without_hints(operations)
         bare = intent_record.encode(record)
-        self.add_failover_hints(record)
+        self._add_failover_hints(record)
         noted = intent_record.encode(record)
         # Moments are worth knowing, effects must be known: with too little room the moments are left out.
         return noted if len(noted) <= self._most_bytes else bare
+
+
+def _rental_intent(
+    operation: ExternalOperation, request: Rent, intended_at_s: int, types: dict[str, int], zones: dict[str, int]
+) -> intent_record.RentalIntent:
+    """A rental as the record holds it; a type or zone not yet in the tables `types` and `zones` is added to them."""
+    return intent_record.RentalIntent(
+        operation.name,
+        types.setdefault(request.type, len(types)),
+        zones.setdefault(request.zone, len(zones)),
+        int(request.spot),
+        request.count,
+        intended_at_s,
+        intent_record.pack_names(operation.machines) if operation.state is OperationState.SETTLED else None,
+    )
--- a/winglift/store/batcher.py
+++ b/winglift/store/batcher.py
@@ -5,6 +5,7 @@
 import asyncio
 import logging
 from collections.abc import Iterable
+from dataclasses import dataclass
 
 import msgspec
 
@@ -24,6 +25,8 @@
 log = logging.getLogger(__name__)
 
 MAX_TXN = 60 * 1024  # bytes; a transaction may hold 64 KiB in all
+WRITE_WAIT_MAX_S = 3.0  # longest wait of a batch for write budget
+REREAD_AGAIN_S = 0.3  # between two attempts to read a record whose state is in question
 
 
 def pack(job: Job) -> records.JobRecord:
@@ -42,6 +45,17 @@
     )
 
 
+@dataclass(frozen=True, slots=True, eq=False)
+class _RecordWrite:
+    """One job's part of a transaction."""
+
+    job: Job
+    record: records.JobRecord
+    urgency: int  # `pending_write` of the job, restored if the write is to be repeated
+    condition: state_messages.Condition
+    put: state_messages.Put
+
+
 class Batcher:
     """Writes changed job records in batches, most urgent first, conditional on the leadership key."""
 
@@ -102,8 +116,24 @@
 
     def _send(self, due: list[Job], most: int) -> int:
         """One transaction with the first of what is due; how many changes it holds."""
-        batch: list[tuple[Job, records.JobRecord]] = []
-        changes: list[tuple[state_messages.Condition, state_messages.Put]] = []
+        batch = self._take_batch(due, most)
+        if not batch:
+            return 0
+        for write in batch:
+            write.job.pending_write = 0
+            write.job.write_in_flight = True
+        # Every leader write is conditional on the leadership key at its revision (invariant 1).
+        txn = state_messages.Transaction(
+            [self.fence.condition(), *(write.condition for write in batch)], [write.put for write in batch]
+        )
+        task = asyncio.ensure_future(self._write(batch, txn))
+        self._running.add(task)
+        task.add_done_callback(self._finished)
+        return len(batch)
+
+    def _take_batch(self, due: list[Job], most: int) -> list[_RecordWrite]:
+        """Take the first of what is due from the list: at most `most` records and MAX_TXN bytes, but at least one."""
+        batch: list[_RecordWrite] = []
         size = 0
         while due and len(batch) < most:
             job = due[0]
@@ -113,72 +143,66 @@
                 break
             due.pop(0)
             try:
-                changes.append(records.record_change(job.ref, job.version, job.committed_state, record))
+                condition, put = records.record_change(job.ref, job.version, job.committed_state, record)
             except records.FinalStateViolation as err:
                 log.error("not written: %s", err)
                 job.pending_write = 0
                 continue
             size += length
-            batch.append((job, record))
-        if not batch:
-            return 0
-        levels = {}
-        for job, _ in batch:
-            levels[job.ref] = job.pending_write
-            job.pending_write = 0
-            job.write_in_flight = True
-        # Every leader write is conditional on the leadership key at its revision (invariant 1).
-        txn = state_messages.Transaction(
-            [self.fence.condition(), *(condition for condition, _ in changes)], [put for _, put in changes]
-        )
-        task = asyncio.ensure_future(self._write(batch, txn, levels))
-        self._running.add(task)
-        task.add_done_callback(self._finished)
-        return len(batch)
+            batch.append(_RecordWrite(job, record, job.pending_write, condition, put))
+        return batch
 
     def _finished(self, task: asyncio.Task) -> None:
         self._running.discard(task)
         if not task.cancelled():
             self.flush()
 
-    async def _write(
-        self, batch: list[tuple[Job, records.JobRecord]], txn: state_messages.Transaction, levels: dict[str, int]
-    ) -> None:
+    async def _write(self, batch: list[_RecordWrite], txn: state_messages.Transaction) -> None:
+        """Commit a batch and take over its outcome in the cluster state."""
         try:
-            result = await self.state.commit(txn, max_wait=3.0)
+            result = await self.state.commit(txn, max_wait=WRITE_WAIT_MAX_S)
         except (RequestRejected, LeaseExpired) as err:
-            if isinstance(err, InvalidRequest):
-                # The service's limits may be smaller than the settings say: the same batch would never get through.
-                self.most_ops = max(1, len(batch) // 2)
-                log.warning("write of %d records refused, fewer at once from now on: %s", len(batch), err)
-            else:
-                log.debug("write refused: %s", err)
-            self._mark_for_retry(batch, levels)
+            self._shrink_if_invalid(batch, err)
+            self._mark_for_retry(batch)
             await asyncio.sleep(constants.WRITE_AGAIN_S)
         except OutcomeUnknown as err:
             # It may have been executed or may yet be: read before deciding anything else.
             log.info("write without an answer, reading again: %s", err)
-            self._mark_for_retry(batch, levels)
-            for job, _ in batch:
-                await self._reread(job)
+            self._mark_for_retry(batch)
+            for write in batch:
+                await self._reread(write.job)
         else:
             now = monotonic_time()
             if isinstance(result, state_messages.Committed):
-                for job, record in batch:
-                    apply_commit(self.cluster, job, result.revision, record, now)
+                for write in batch:
+                    apply_commit(self.cluster, write.job, result.revision, write.record, now)
             else:
-                self._mark_for_retry(batch, levels)
-                if records.LEADER_KEY in result.failed:
-                    self.fence_lost = True
-                else:
-                    # The others' changes are sound: they are not held up by the reading.
-                    stale = [j for j, _ in batch if records.JOB_PREFIX + j.ref in result.failed]
-                    self._release(j for j, _ in batch if j not in stale)
-                    for job in stale:
-                        await self._reread(job)
-                    batch = [(j, r) for j, r in batch if j in stale]
+                batch = await self._resolve_conflict(batch, result)
         finally:
-            self._release(j for j, _ in batch)
+            self._release(write.job for write in batch)
+
+    def _shrink_if_invalid(self, batch: list[_RecordWrite], err: RequestRejected | LeaseExpired) -> None:
+        if isinstance(err, InvalidRequest):
+            # The service's limits may be smaller than the settings say: the same batch would never get through.
+            self.most_ops = max(1, len(batch) // 2)
+            log.warning("write of %d records refused, fewer at once from now on: %s", len(batch), err)
+        else:
+            log.debug("write refused: %s", err)
+
+    async def _resolve_conflict(
+        self, batch: list[_RecordWrite], conflict: state_messages.Conflict
+    ) -> list[_RecordWrite]:
+        """Read again the records whose revisions were not as expected; returns what is not yet released."""
+        self._mark_for_retry(batch)
+        if records.LEADER_KEY in conflict.failed:
+            self.fence_lost = True
+            return batch
+        # The others' changes are sound: they are not held up by the reading.
+        stale = [write for write in batch if records.JOB_PREFIX + write.job.ref in conflict.failed]
+        self._release(write.job for write in batch if write not in stale)
+        for write in stale:
+            await self._reread(write.job)
+        return stale
 
     def _release(self, jobs: Iterable[Job]) -> None:
         """These jobs' writes are over: what others changed meanwhile is taken in, and they may be written again."""
@@ -190,9 +214,9 @@
                 apply_record(self.cluster, job.ref, version, records.decode(value), monotonic_time())
         self.cluster.changed = True
 
-    def _mark_for_retry(self, batch: list[tuple[Job, records.JobRecord]], levels: dict[str, int]) -> None:
-        for job, _ in batch:
-            job.request_write(levels[job.ref])
+    def _mark_for_retry(self, batch: list[_RecordWrite]) -> None:
+        for write in batch:
+            write.job.request_write(write.urgency)
 
     async def _reread(self, job: Job) -> None:
         while not self.fence_lost:
@@ -200,7 +224,7 @@
                 item = await self.state.get(records.JOB_PREFIX + job.ref)
                 break
             except (RequestRejected, OutcomeUnknown):
-                await asyncio.sleep(0.3)
+                await asyncio.sleep(REREAD_AGAIN_S)
         else:
             return
         if item is not None:
--- a/winglift/store/client.py
+++ b/winglift/store/client.py
@@ -106,6 +106,13 @@
         kept = min(constants.SUBMIT_WRITES_KEPT, self._writes.burst * constants.SUBMIT_WRITES_SHARE)
         return max(0, int(self._writes.free(monotonic_time()) - kept))
 
+    def has_spare_writes(self, kept_share: float) -> bool:
+        """Does the service answer, and is there write budget beyond `kept_share` of the changes a second?
+
+        Asked before writes that nothing waits for, so that they take no budget from starts, ends and users.
+        """
+        return self.health() is Health.GOOD and self.writes_free() >= self._limits.write_rps * kept_share
+
     # -- health --------------------------------------------------------------------------------
 
     def health(self) -> Health:
@@ -156,14 +163,24 @@
             await self._pace(self._reads, 1, max_wait)
             if changes:
                 await self._pace(self._writes, changes, max_wait)
+        reply = await self._exchange(method, path, body, timeout)
+        self._check_status(reply, changes)
+        self._record_outcome(True)
+        return reply
+
+    async def _exchange(self, method: str, path: str, body: bytes | None, timeout: float) -> Reply:
+        """Send one request and wait for its answer, whatever its status. Raises RequestRejected, OutcomeUnknown."""
         try:
-            reply = await self._http.request(method, path, body, timeout)
+            return await self._http.request(method, path, body, timeout)
         except NotSent as err:
             self._record_outcome(False)
             raise RequestRejected(str(err)) from None
         except Unanswered as err:
             self._record_outcome(False)
             raise OutcomeUnknown(str(err)) from None
+
+    def _check_status(self, reply: Reply, changes: int) -> None:
+        """Raise RequestRejected for an overloaded or failing service; a 429 slows down the request's budgets."""
         if reply.status == 429:
             self._reads.penalise(monotonic_time())
             if changes:
@@ -172,8 +189,6 @@
         if reply.status >= 500:
             self._record_outcome(False)
             raise RequestRejected(f"state service: {reply.status}")
-        self._record_outcome(True)
-        return reply
 
     # -- requests ------------------------------------------------------------------------------
 
--- a/winglift/store/election.py
+++ b/winglift/store/election.py
@@ -147,6 +147,7 @@
         self.campaign_requested.clear()
 
     async def _campaign(self) -> None:
+        """Try once to become the leader of the next term."""
         self.leadership.move(RoleEvent.CAMPAIGN)
         sent = monotonic_time()
         lease = await self.state.grant_lease(constants.LEADER_LEASE_S)
@@ -162,27 +163,34 @@
                 state_messages.Put(TERM_KEY, TermRecord(term)),
             ],
         )
-        revision = 0
-        try:
-            result = await self.state.commit(txn, urgent=True)
-            if isinstance(result, state_messages.Committed):
-                revision = result.revision
-        except LeaseExpired:
-            pass
-        except OutcomeUnknown:
-            found = await self.state.get(LEADER_KEY, urgent=True)
-            # The lease tells it from what this node's earlier life has sent, perhaps with the same term: that one would
-            # end while the lease renewed here is another.
-            if (
-                found is not None
-                and found.lease == lease
-                and _leader.decode(found.value) == LeaderRecord(term, self.node)
-            ):
-                revision = found.version
+        revision = await self._commit_leadership(txn, term, lease)
         if not revision:
             self.leadership.move(RoleEvent.LOST)
             await asyncio.sleep(self._rng.random() * constants.CAMPAIGN_JITTER_S)
             return
+        self._become_leader(term, lease, revision, sent)
+
+    async def _commit_leadership(self, txn: state_messages.Transaction, term: int, lease: int) -> int:
+        """The leadership key's revision if this transaction made the node the leader, else 0."""
+        try:
+            result = await self.state.commit(txn, urgent=True)
+        except LeaseExpired:
+            return 0
+        except OutcomeUnknown:
+            return await self._own_leadership_revision(term, lease)
+        return result.revision if isinstance(result, state_messages.Committed) else 0
+
+    async def _own_leadership_revision(self, term: int, lease: int) -> int:
+        """The leadership key's revision if it names this node, this term and this lease, else 0."""
+        found = await self.state.get(LEADER_KEY, urgent=True)
+        # The lease tells it from what an earlier process of this node has sent, perhaps with the same term: that key
+        # would end while the lease renewed here is another.
+        if found is None or found.lease != lease:
+            return 0
+        return found.version if _leader.decode(found.value) == LeaderRecord(term, self.node) else 0
+
+    def _become_leader(self, term: int, lease: int, revision: int, sent: float) -> None:
+        """Lead `term`. The lease counts from `sent`, the time at which it was asked for."""
         self.leadership.term, self.leadership.lease, self.leadership.revision = term, lease, revision
         self.leadership.valid_until = 0.0
         self.leadership.extend_lease(sent, constants.LEADER_LEASE_S)
--- a/winglift/store/image_cache_snapshots.py
+++ b/winglift/store/image_cache_snapshots.py
@@ -16,7 +16,7 @@
 from ..net.runtime import monotonic_time
 from ..wire import state as state_messages
 from .batcher import MAX_TXN
-from .client import Health, LeaseExpired, OutcomeUnknown, RequestRejected, StateClient
+from .client import LeaseExpired, OutcomeUnknown, RequestRejected, StateClient
 
 log = logging.getLogger(__name__)
 
@@ -38,8 +38,7 @@
         return (
             now >= self._next
             and (self._task is None or self._task.done())
-            and self.state.health() is Health.GOOD
-            and self.state.writes_free() >= self.limits.write_rps * constants.IMAGE_CACHE_WRITES_KEPT
+            and self.state.has_spare_writes(constants.IMAGE_CACHE_WRITES_KEPT)
         )
 
     def save(self, images: Mapping[str, Mapping[str, float]], now: float) -> None:
