--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -205,11 +205,11 @@
     assert pause + constants.SOUND_RUN_S + constants.IDLE_CYCLE_S < 90.0 and pause < constants.AVOID_S
     snapshot_builder = lab.fresh_view()
     job.retry_not_before = lab.now + pause
-    assert snapshot_builder._demand(job, lab.now, NOW, False) is None
+    assert snapshot_builder.demands.demand(job, lab.now, NOW, False) is None
     job.unplaced_since = lab.now
-    first = snapshot_builder._demand(job, job.retry_not_before, NOW, False)
+    first = snapshot_builder.demands.demand(job, job.retry_not_before, NOW, False)
     assert first is not None and first.avoided_machines == frozenset(job.failed_on)
-    later = snapshot_builder._demand(job, lab.now + constants.AVOID_S, NOW, False)
+    later = snapshot_builder.demands.demand(job, lab.now + constants.AVOID_S, NOW, False)
     assert later is not None and later.indices and not later.avoided_machines
     assert constants.AVOID_S + constants.SOUND_RUN_S + constants.IDLE_CYCLE_S < 90.0
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -49,7 +49,7 @@
         elif op == "plan":
             make_plan(fleet.snapshot_builder.build(fleet.now, zones_with_controllers=attended))
         elif op == "hold":
-            fleet.snapshot_builder.reserve_for_gangs({f"wk-{fleet.jobs:06d}": [machine.name]}, fleet.now)
+            fleet.snapshot_builder.gang_reservations.reserve({f"wk-{fleet.jobs:06d}": [machine.name]}, fleet.now)
         elif op == "silent":
             machine.last_heard = fleet.now - 100.0
         elif op == "drain":
@@ -70,11 +70,11 @@
         elif op == "wait":
             fleet.job(Kind.GANG if number % 2 else Kind.ARRAY, number % 5 + 1, 4.0, 20.0)
         plain = fleet.fresh_view()
-        plain.gang_reservations = dict(fleet.snapshot_builder.gang_reservations)
+        plain.gang_reservations.by_job = dict(fleet.snapshot_builder.gang_reservations.by_job)
         kept = fleet.snapshot_builder.build(fleet.now, zones_with_controllers=attended)
         anew = plain.build(fleet.now, zones_with_controllers=attended)
         # What a stop would cost is kept for some seconds, by INSPECTION_KEPT_S: it is compared as of the same moment.
-        fleet.snapshot_builder._inspections.clear()
+        fleet.snapshot_builder.free_capacities._inspections.clear()
         assert seen(kept) == seen(anew)
         assert make_plan(kept) == make_plan(anew)
 
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -8,8 +8,8 @@
 from helpers import TYPE, settings
 
 from winglift.config.script import Script
+from winglift.controller.gang_reservations import gang_may_rent
 from winglift.controller.leader_term import LeaderTerm
-from winglift.controller.snapshot_builder import gang_may_rent
 from winglift.model.leadership import Leadership, Role
 from winglift.model.machine_state import MachineState
 from winglift.node import Node
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -204,11 +204,12 @@
     other = apply_record(cluster, "wk-2", 6, records.new_record(spec("wk-2", tasks=1, image="other"), 0.0), 0.0)
     assert job is not None and other is not None
     cluster.assign(Task(job, 0, 1, machine, TaskState.FETCHING, 100.0))
-    assert not snapshot_builder._stalled_replicas(job, 104.0)  # 5 GB at 1 GB a second: a second is left
+    assert not snapshot_builder.demands.stalled_replicas(job, 104.0)  # 5 GB at 1 GB a second: a second is left
     cluster.assign(Task(other, 0, 1, machine, TaskState.FETCHING, 100.0))
-    assert not snapshot_builder._stalled_replicas(job, 102.0) and snapshot_builder._stalled_replicas(job, 103.9)
-    assert not snapshot_builder._stalled_replicas(job, 106.0)
-    assert snapshot_builder._stalled_replicas(job, 113.0)  # far too late by now
+    assert not snapshot_builder.demands.stalled_replicas(job, 102.0)
+    assert snapshot_builder.demands.stalled_replicas(job, 103.9)
+    assert not snapshot_builder.demands.stalled_replicas(job, 106.0)
+    assert snapshot_builder.demands.stalled_replicas(job, 113.0)  # far too late by now
 
 
 def gang_of(tasks: int, **changes) -> policy_snapshot.Demand:
@@ -276,15 +277,18 @@
         site, cluster, Inventory(SimpleNamespace(), cluster, 3.0, OpenIntentLog()), Script(), lambda: True
     )  # type: ignore[arg-type]
     assert apply_record(cluster, "wk-1", 5, records.new_record(gang_of(2).spec, 0.0), 0.0) is not None
-    snapshot_builder.reserve_for_gangs({"wk-1": ["vm-1", "vm-2"]}, 100.0)
-    snapshot_builder.reserve_for_gangs({"wk-1": ["vm-2", "vm-3"]}, 100.0 + constants.GANG_RESERVATION_S - 1)
-    assert snapshot_builder._reserved_machines(100.0 + constants.GANG_RESERVATION_S) == {"vm-2": "wk-1", "vm-3": "wk-1"}
-    snapshot_builder.reserve_for_gangs({"wk-1": ["vm-1", "vm-2"]}, 100.0 + constants.GANG_RESERVATION_S + 1)
-    assert snapshot_builder._reserved_machines(100.0 + constants.GANG_RESERVATION_S + 1) == {}
+    snapshot_builder.gang_reservations.reserve({"wk-1": ["vm-1", "vm-2"]}, 100.0)
+    snapshot_builder.gang_reservations.reserve({"wk-1": ["vm-2", "vm-3"]}, 100.0 + constants.GANG_RESERVATION_S - 1)
+    assert snapshot_builder.gang_reservations.reserved_machines(100.0 + constants.GANG_RESERVATION_S) == {
+        "vm-2": "wk-1",
+        "vm-3": "wk-1",
+    }
+    snapshot_builder.gang_reservations.reserve({"wk-1": ["vm-1", "vm-2"]}, 100.0 + constants.GANG_RESERVATION_S + 1)
+    assert snapshot_builder.gang_reservations.reserved_machines(100.0 + constants.GANG_RESERVATION_S + 1) == {}
     later = 101.0 + constants.GANG_RESERVATION_S + constants.GANG_RESERVATION_PAUSE_S
-    assert snapshot_builder._reserved_machines(later) == {}
-    snapshot_builder.reserve_for_gangs({"wk-1": ["vm-1"]}, later)
-    assert snapshot_builder._reserved_machines(later) == {"vm-1": "wk-1"}
+    assert snapshot_builder.gang_reservations.reserved_machines(later) == {}
+    snapshot_builder.gang_reservations.reserve({"wk-1": ["vm-1"]}, later)
+    assert snapshot_builder.gang_reservations.reserved_machines(later) == {"vm-1": "wk-1"}
 
 
 def test_what_runs_on_a_machine_is_added_up_anew_only_where_it_changed(monkeypatch):
@@ -297,7 +301,7 @@
     looked: list[str] = []
     anew = inspect_tasks
     monkeypatch.setattr(
-        "winglift.controller.snapshot_builder.inspect_tasks",
+        "winglift.controller.free_capacities.inspect_tasks",
         lambda machine, within, now: looked.append(machine.name) or anew(machine, within, now),
     )
     job = apply_record(cluster, "wk-1", 5, records.new_record(spec("wk-1", tasks=400), 0.0), 0.0)
--- a/tests/test_successors.py
+++ b/tests/test_successors.py
@@ -14,7 +14,7 @@
 from test_leader import leader
 
 from winglift import constants
-from winglift.controller.snapshot_builder import GangReservation
+from winglift.controller.gang_reservations import GangReservation
 from winglift.duties import intent_record
 from winglift.duties.duty import DutyName, Fence
 from winglift.model import image_cache_record, records
@@ -300,7 +300,7 @@
     machine.move(MachineEvent.DRAIN)
     made.inventory.capacity_refusals["g4", "a", True] = 1006.0
     made.drainer.next_migration_at = 1050.0
-    made.snapshot_builder.gang_reservations["wk-3"] = GangReservation(["vm-1", "vm-2"], 997.0)
+    made.snapshot_builder.gang_reservations.by_job["wk-3"] = GangReservation(["vm-1", "vm-2"], 997.0)
     found = intent_record.IntentRecord(1.7e9, 3)
     made.failover_hints.add_hints(found, 1000.0, 1.7e9)
     found = intent_record.decode(intent_record.encode(found))
@@ -318,16 +318,16 @@
     assert after.drainer.next_migration_at == pytest.approx(98.0)
     assert all(task.stopping for task in after.cluster.jobs["wk-1"].active.values())
     assert set(after.cluster.jobs["wk-2"].failed_on) == {"vm-7", "vm-8"}
-    assert after.snapshot_builder.gang_reservations["wk-3"].machines == [
+    assert after.snapshot_builder.gang_reservations.by_job["wk-3"].machines == [
         "vm-1",
         "vm-2",
-    ] and after.snapshot_builder.gang_reservations["wk-3"].since == pytest.approx(45.0)
+    ] and after.snapshot_builder.gang_reservations.by_job["wk-3"].since == pytest.approx(45.0)
     # A later attempt was not meant, nor is a moment taken further off than it may ever be.
     later, _ = leader(True, [])
     apply_record(later.cluster, "wk-1", 12, msgspec.structs.replace(gang, assignments=[("vm-1", 3, "0-1")]), 50.0)
     found.reserved_for_gangs["wk-4"] = (0.0, "vm-|no range")
     later.failover_hints.apply_hints(found, 50.0, 1.7e9 - 5000.0)
-    assert set(later.snapshot_builder.gang_reservations) == {"wk-3"}
+    assert set(later.snapshot_builder.gang_reservations.by_job) == {"wk-3"}
     assert not any(task.stopping for task in later.cluster.jobs["wk-1"].active.values())
     assert later.inventory.capacity_refusals["g4", "a", True] <= 50.0 + constants.NO_CAPACITY_PAUSE_S
     assert later.drainer.next_migration_at <= 50.0 + constants.MIGRATION_PAUSE_MAX_S
--- a/winglift/controller/failover.py
+++ b/winglift/controller/failover.py
@@ -17,7 +17,8 @@
 from ..model.records import InvalidRecord
 from ..wire.users import Kind
 from .draining import Drainer
-from .snapshot_builder import GangReservation, SnapshotBuilder
+from .gang_reservations import GangReservation
+from .snapshot_builder import SnapshotBuilder
 
 log = logging.getLogger(__name__)
 
@@ -64,7 +65,7 @@
         record.stopping_gangs = dict(list(dict(stopping).items())[:most])
         record.reserved_for_gangs = {
             ref: (round(today + kept.since - now, 1), pack_names(kept.machines))
-            for ref, kept in list(self.snapshot_builder.gang_reservations.items())[:most]
+            for ref, kept in list(self.snapshot_builder.gang_reservations.by_job.items())[:most]
         }
         record.failed_on = {
             j.ref: list(j.failed_on) for j in self.cluster.jobs.values() if j.is_open and job_is_suspect(j, now)
@@ -97,7 +98,7 @@
                 cluster.request_stop_of_all(job, now, "an earlier term has begun to stop it", job.grace_s)
         for ref, (since, names) in record.reserved_for_gangs.items():
             try:
-                self.snapshot_builder.gang_reservations[ref] = GangReservation(
+                self.snapshot_builder.gang_reservations.by_job[ref] = GangReservation(
                     unpack_names(names), now - max(0.0, today - since)
                 )
             except InvalidRecord as err:
--- a/winglift/controller/plan_executor.py
+++ b/winglift/controller/plan_executor.py
@@ -28,7 +28,7 @@
     def apply(self, plan: Plan, now: float) -> None:
         """Stops first: room that is being made is kept before anything is placed."""
         self._stop(plan, now)
-        self.snapshot_builder.reserve_for_gangs(plan.reservations, now)
+        self.snapshot_builder.gang_reservations.reserve(plan.reservations, now)
         self._migrate(plan, now)
         self._start(plan, now)
         self._report_waiting(plan)
