--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -5,6 +5,7 @@
 import asyncio
 import logging
 import math
+from collections.abc import Awaitable, Callable
 
 from .. import constants
 from ..cloud.client import CloudClient
@@ -15,6 +16,7 @@
 from ..duties.duty import Duties, DutyName, DutyState
 from ..duties.garbage_collection import GarbageCollector, ImageCacheSweeper
 from ..duties.intent_log import IntentLog
+from ..duties.intent_record import IntentRecord
 from ..model import records
 from ..model.cluster_state import ClusterState
 from ..model.job_state import JobState
@@ -24,14 +26,13 @@
 from ..model.task_state import PRESENT, TaskState
 from ..net.runtime import monotonic_time, wall_time
 from ..policy import snapshot as policy_snapshot
-from ..policy.failure_detector import FailureDetector, last_contact
+from ..policy.failure_detector import FailureDetector
 from ..policy.plan import make_plan
 from ..policy.renting import merge_rentals
 from ..store.batcher import Batcher
 from ..store.client import Health, StateClient
 from ..store.election import Election
 from ..store.image_cache_snapshots import ImageCacheSnapshots
-from ..wire import peer as peer_messages
 from ..wire import workers as worker_messages
 from ..wire.cloud import MachineType
 from ..wire.users import Kind
@@ -39,13 +40,17 @@
 from ..workers.probes import Prober
 from .draining import Drainer
 from .failover import FailoverHints
-from .pacing import pause_s, rest_s
+from .fleet_reporter import FleetReporter
+from .pacing import CyclePacer, pause_s, rest_s
 from .plan_executor import PlanExecutor
 from .record_watcher import RecordWatcher
 from .snapshot_builder import SnapshotBuilder
 
 log = logging.getLogger(__name__)
 
+TASK_RETRY_S = 0.5  # after an unexpected error in one of the leader's tasks
+SLOW_CYCLE_S = 0.1  # a planning cycle that takes longer is logged
+
 
 class LeaderTerm:
     """Leads for one term: observes reports and records, plans, commits and acts."""
@@ -70,24 +75,47 @@
         self.script = script
         self.cluster = ClusterState(settings, types, self.term)
         self.duties = Duties(self.leadership)
-        lag_s = settings.settings.cloud.list_lag_s
-        self.intent_log = IntentLog(state, settings.settings.state, self.duties.fence, lag_s)
-        self.batcher = Batcher(state, settings.settings.state, self.cluster, self.duties.fence)
+        self._tasks: list[asyncio.Task[None]] = []
+        self._resignation: asyncio.Future[None] | None = None
+        self._pacer = CyclePacer()
+        self._replicas_wait = False  # for free capacity, by the last plan: each cycle may find some
+        self._last_plan = 0.0
+        self._next_pass = math.inf  # when the cycle's next pass is due at the latest
+        self._build_duties(cloud)
+        self._build_worker_contacts()
+        self._build_planning()
+        self._build_observers()
+        self._inherit_fleet_summary()
+
+    def _build_duties(self, cloud: CloudClient) -> None:
+        """What this term writes to the state store and to the cloud, each under its duty's fence."""
+        state, limits, fence = self.state, self.settings.settings.state, self.duties.fence
+        lag_s = self.settings.settings.cloud.list_lag_s
+        self.intent_log = IntentLog(state, limits, fence, lag_s)
+        self.intent_log.add_failover_hints = self._add_failover_hints
+        self.batcher = Batcher(state, limits, self.cluster, fence)
+        self.cluster.on_ending = self.batcher.flush_soon
         self.inventory = Inventory(cloud, self.cluster, lag_s, self.intent_log)
-        self.image_cache_snapshots = ImageCacheSnapshots(
-            state, settings.settings.state, self.leadership, self.duties.fence
-        )
-        self.garbage_collector = GarbageCollector(state, settings.settings.state, self.duties)
+        self.image_cache_snapshots = ImageCacheSnapshots(state, limits, self.leadership, fence)
+        self.garbage_collector = GarbageCollector(state, limits, self.duties)
         self.garbage_collector.sweepers.append(ImageCacheSweeper(state, self.cluster))
+
+    def _build_worker_contacts(self) -> None:
+        """What calls workers directly, beside the answers to their reports."""
         self.task_stopper = TaskStopper(self.cluster, self.leadership, self.may_only_enforce_cancellations)
         self.prober = Prober(self.cluster, self.leadership)
-        self.snapshot_builder = SnapshotBuilder(settings, self.cluster, self.inventory, script, self._may_rent)
-        self.plan_executor = PlanExecutor(self.cluster, self.batcher, self.snapshot_builder)
-        self.drainer = Drainer(self.cluster, self.inventory, script, settings.settings.workers)
-        self.failover_hints = FailoverHints(self.cluster, self.inventory, self.drainer, self.snapshot_builder)
-        self.intent_log.add_failover_hints = lambda record: self.failover_hints.add_hints(
-            record, monotonic_time(), wall_time()
-        )
+
+    def _build_planning(self) -> None:
+        """What makes the policy's snapshot and carries its plan out."""
+        cluster, inventory, script = self.cluster, self.inventory, self.script
+        self.snapshot_builder = SnapshotBuilder(self.settings, cluster, inventory, script, self._may_rent)
+        self.plan_executor = PlanExecutor(cluster, self.batcher, self.snapshot_builder)
+        self.drainer = Drainer(cluster, inventory, script, self.settings.settings.workers)
+        self.failover_hints = FailoverHints(cluster, inventory, self.drainer, self.snapshot_builder)
+
+    def _build_observers(self) -> None:
+        """What follows the workers' reports and the job records, and who else hears of them."""
+        settings = self.settings
         self.failure_detector = FailureDetector(
             self.cluster,
             settings.settings.workers,
@@ -95,22 +123,19 @@
             {settings.zone, *(seed.zone for seed in settings.seeds)},
         )
         self.record_watcher = RecordWatcher(
-            state,
-            self.cluster,
-            lambda when, spec: self.snapshot_builder.recent_arrivals.append((when, spec)),
-            lambda: self._wake.set(),
+            self.state, self.cluster, self.snapshot_builder.add_arrival, self._pacer.wake
         )
-        self._tasks: list[asyncio.Task] = []
-        self._wake = asyncio.Event()
-        self._urgent = asyncio.Event()
-        self._replicas_wait = False  # for room, by the last plan: each cycle may find some
-        self.cluster.on_urgent = self._urgent.set
-        self.cluster.on_ending = self.batcher.flush_soon
-        self._last_plan = 0.0
-        self._next_fleet_report = 0.0  # when the other nodes are told of the fleet again
-        self._next_pass = math.inf  # when the cycle's next pass is due at the latest
-        self.cluster.inherited_images = dict(peers.fleet.images)
-        self.cluster.silent_since = {name: peers.fleet_at - s for name, s in peers.fleet.silent.items()}
+        self.fleet_reporter = FleetReporter(self.cluster, self.peers, self.failure_detector, self.image_cache_snapshots)
+        self.cluster.on_urgent = self._pacer.wake_urgently
+
+    def _inherit_fleet_summary(self) -> None:
+        """Begin with what the last fleet summary of the leader before said of images and silent machines."""
+        fleet, fleet_at = self.peers.fleet, self.peers.fleet_at
+        self.cluster.inherited_images = dict(fleet.images)
+        self.cluster.silent_since = {name: fleet_at - silent_s for name, silent_s in fleet.silent.items()}
+
+    def _add_failover_hints(self, record: IntentRecord) -> None:
+        self.failover_hints.add_hints(record, monotonic_time(), wall_time())
 
     def start(self) -> None:
         """Begin the leader's tasks; nothing is decided before records and duty page are loaded."""
@@ -145,8 +170,8 @@
             self.cluster.inherited_images = await self.image_cache_snapshots.load()
             log.debug("images of %d machines are known", len(self.cluster.inherited_images))
 
-    async def _run_supervised(self, job) -> None:  # type: ignore[no-untyped-def]
-        """A fault in one pass must not end the leader's work."""
+    async def _run_supervised(self, job: Callable[[], Awaitable[None]]) -> None:
+        """The outermost frame of each task: an unexpected error in one pass must not end the leader's work."""
         while True:
             try:
                 await job()
@@ -154,8 +179,8 @@
             except asyncio.CancelledError:
                 raise
             except Exception:
-                log.exception("fault in %s", job.__name__)
-                await asyncio.sleep(0.5)
+                log.exception("leader task failed: task=%s", job.__name__)
+                await asyncio.sleep(TASK_RETRY_S)
 
     # -- observe -------------------------------------------------------------------------------
 
@@ -184,7 +209,7 @@
             await asyncio.sleep(constants.FAILOVER_POLL_S)
         self.duties.mark_ready(DutyName.CLOUD_OPERATIONS)
         self.duties.mark_ready(DutyName.GARBAGE_COLLECTION)
-        self._wake.set()
+        self._pacer.wake()
 
     def may_use_cloud(self) -> bool:
         """Asked as the last thing before each call that changes something there, after every wait for a turn."""
@@ -230,7 +255,7 @@
         if commands is None:
             return None if report.machine in self.cluster.deleted_machines else []
         if self.cluster.changed:
-            self._wake.set()
+            self._pacer.wake()
         entitled = self.leadership.entitled(now)
         if not entitled and not self.may_only_enforce_cancellations():
             return []
@@ -250,14 +275,7 @@
 
     async def _run_cycles(self) -> None:
         while True:
-            if not self._urgent.is_set():
-                try:
-                    async with asyncio.timeout(constants.IDLE_CYCLE_S):
-                        await self._wake.wait()
-                except TimeoutError:
-                    pass
-            self._wake.clear()
-            self._urgent.clear()
+            await self._pacer.wait_for_work()
             pause = rest = constants.CYCLE_S
             self.election.check_lease()
             self.duties.sync_with_lease()
@@ -270,18 +288,12 @@
                 took = monotonic_time() - began
                 pause = pause_s(took)
                 rest = pause if self._replicas_wait else rest_s(took)
-                if took > 0.1:
-                    log.debug("a cycle took %.0f ms", took * 1000)
+                if took > SLOW_CYCLE_S:
+                    log.debug("planning cycle slow: duration_ms=%.0f", took * 1000)
             elif self.loaded and self.may_only_enforce_cancellations():
                 self._enforce_cancellations(began)
             self._next_pass += monotonic_time() - began + rest
-            await asyncio.sleep(pause)
-            if rest > pause:
-                try:
-                    async with asyncio.timeout(rest - pause):
-                        await self._urgent.wait()
-                except TimeoutError:
-                    pass
+            await self._pacer.rest(pause, rest)
 
     def _may_decide(self, now: float) -> bool:
         """Is this node entitled, and since when without a break? A pause of its own ends that too."""
@@ -330,16 +342,7 @@
                 self._apply(make_plan(snapshot), now)
             self.drainer.drain(now)
         self.batcher.flush()
-        if now >= self._next_fleet_report:
-            self._next_fleet_report = now + constants.FLEET_INTERVAL_S
-            images = {m.name: dict(m.images) for m in cluster.machines.values() if m.images}
-            self.peers.announce_fleet(
-                peer_messages.Fleet(
-                    images, {m.name: now - last_contact(m) for m in self.failure_detector.silent_machines(now)}
-                )
-            )
-            if self.image_cache_snapshots.due(now):
-                self.image_cache_snapshots.save(images, now)
+        self.fleet_reporter.report_if_due(now)
 
     def _check_jobs(self, now: float) -> None:
         for job in list(self.cluster.jobs.values()):
@@ -364,7 +367,8 @@
         found = self.failure_detector.evaluate(now, wall_time(), hears_anyone, self.peers.hears_all(now))
         if found.isolated:
             self.duties.relinquish()
-            asyncio.ensure_future(self.election.resign("hears neither workers nor other nodes"))
+            # Not cancelled by `stop`: the resignation itself ends this term. The reference keeps the task alive.
+            self._resignation = asyncio.ensure_future(self.election.resign("hears neither workers nor other nodes"))
         for mtype, zone in found.failing_pools:
             log.info("new machines of %s in %s stay dark: others are rented elsewhere", mtype, zone)
         for machine, why in found.to_delete:
--- a/winglift/controller/snapshot_builder.py
+++ b/winglift/controller/snapshot_builder.py
@@ -17,7 +17,7 @@
 from ..model.task_state import TaskState
 from ..net.runtime import wall_time
 from ..policy import snapshot as policy_snapshot
-from ..wire.users import Kind
+from ..wire.users import Kind, Submission
 from .demands import DemandBuilder
 from .free_capacities import FreeCapacities
 from .gang_reservations import GangReservations
@@ -48,6 +48,10 @@
         self.demands = DemandBuilder(cluster, script, objectives, self.gang_reservations, self.preferred_machines)
         self._start_objectives = start_objectives(objectives)
 
+    def add_arrival(self, submitted_at: float, spec: Submission) -> None:
+        """Count a new job towards the size of the warm pools; `submitted_at` is a time of day (s)."""
+        self.recent_arrivals.append((submitted_at, spec))
+
     def build(
         self,
         now: float,
