--- a/winglift/controller/__init__.py
+++ b/winglift/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The leader's work, one object per term: `lead` drives it, the other modules hold one concern each."""
+"""The leader's work in one term: `leader_term` drives it, the other modules hold one concern each."""
--- a/winglift/controller/draining.py
+++ b/winglift/controller/draining.py
@@ -1,4 +1,4 @@
-"""Work that leaves its machine in good time, and machines that are returned: notices, faults, idle and thin ones."""
+"""Draining: tasks leave reclaimed and faulty machines in time; idle and thinly used machines are returned."""
 
 from __future__ import annotations
 
@@ -16,6 +16,14 @@
 
 log = logging.getLogger(__name__)
 
+# Drain reasons, as they stand in the intent log.
+CONSOLIDATION = "emptied"
+RECLAIM_NOTICE = "notice"
+
+PAID_BOUNDARY_MARGIN_S = 2.0  # so long before the end of the first paid stretch an idle machine may be returned
+SAVE_MARGIN_S = 4.0  # beside the save itself, before a machine is reclaimed
+STOP_MARGIN_S = 3.0  # for tasks that save nothing
+
 
 class Drainer:
     """Drains machines: returns idle ones and moves replicas off thinly used ones, at a bounded pace."""
@@ -25,71 +33,85 @@
         self.inventory = inventory
         self.script = script
         self.workers = workers
-        self.next_migration_at = 0.0  # steady time from which a replica may be moved again
+        self.next_migration_at = 0.0  # monotonic time (s) from which a replica may be migrated again
 
     def may_migrate(self, now: float) -> bool:
-        """May a replica be moved now? Moves are paced by what they cost."""
+        """May a replica be migrated now? Migrations are paced by the downtime they cost."""
         return now >= self.next_migration_at
 
     def return_idle(self, spare: set[str], now: float) -> None:
-        """Idle machines go back near their paid boundary: the first paid stretch, then any second."""
+        """Return idle machines near the boundary of what is paid: after the first paid stretch, at any second."""
         # Sorted: the order of a set of names differs from one process to the next.
         for name in sorted(spare):
             machine = self.cluster.machines.get(name)
             if machine is None or machine.tasks or machine.unknown_tasks or machine.state is not MachineState.UP:
                 continue
-            idle = now - (machine.idle_since if machine.idle_since is not None else now)
-            if idle > self.script.number("idle_keep_s") and now - machine.rented_at > constants.FIRST_PAID_S - 2:
-                self.inventory.delete(machine, f"idle for {idle:.0f} s")
+            idle_s = now - (machine.idle_since if machine.idle_since is not None else now)
+            rented_s = now - machine.rented_at
+            if (
+                idle_s > self.script.number("idle_keep_s")
+                and rented_s > constants.FIRST_PAID_S - PAID_BOUNDARY_MARGIN_S
+            ):
+                self.inventory.delete(machine, f"idle for {idle_s:.0f} s")
 
     def consolidate(self, name: str | None, now: float) -> None:
-        """Empty a machine by moving its replicas, one machine at a time."""
+        """Drain a thinly used machine by migrating its replicas, one machine at a time."""
         machine = self.cluster.machines.get(name) if name else None
         if machine is None or not self.may_migrate(now):
             return
-        if any(m.state is MachineState.DRAINING and m.tasks for m in self.cluster.machines.values()):
+        if any(other.state is MachineState.DRAINING and other.tasks for other in self.cluster.machines.values()):
             return
-        log.info("moves %d replicas off %s to return it", len(machine.tasks), machine.name)
-        machine.drain_reason = "emptied"
+        log.info("drain started: replicas=%d machine=%s reason=consolidation", len(machine.tasks), machine.name)
+        machine.drain_reason = CONSOLIDATION
         machine.move(MachineEvent.DRAIN)
 
-    def _migrate_replicas(self, task: Task, now: float) -> None:
-        """Move replicas one after the other, so slowly that the time they are away hardly counts."""
+    def _migrate_replica(self, task: Task, now: float) -> None:
+        """Migrate replicas one after the other, so slowly that their downtime hardly counts."""
         if not self.may_migrate(now):
             return
-        replicas = sum(len(j.active) for j in self.cluster.jobs.values() if j.kind is Kind.SERVICE)
-        away = constants.MIGRATION_DOWNTIME_S + self.workers.report_s / 2
-        pause = away / (self.script.number("move_loss_share") * max(1, replicas))
-        self.next_migration_at = now + min(pause, constants.MIGRATION_PAUSE_MAX_S)
+        replicas = sum(len(job.active) for job in self.cluster.jobs.values() if job.kind is Kind.SERVICE)
+        downtime_s = constants.MIGRATION_DOWNTIME_S + self.workers.report_s / 2
+        pause_s = downtime_s / (self.script.number("move_loss_share") * max(1, replicas))
+        self.next_migration_at = now + min(pause_s, constants.MIGRATION_PAUSE_MAX_S)
         self.cluster.request_stop(task, 0.0, now, "moved")
 
     def drain(self, now: float) -> None:
-        """Work on machines that are about to be taken or are faulty moves away in time to save."""
+        """Stop tasks on draining machines, early enough to save their work before the machine is taken."""
         for machine in self.cluster.machines.values():
             if machine.state is not MachineState.DRAINING:
                 continue
-            left = machine.reclaim_at - now if machine.reclaim_at is not None else 0.0
+            remaining_s = machine.reclaim_at - now if machine.reclaim_at is not None else 0.0
             for task in list(machine.tasks.values()):
-                spec = task.job.spec
-                if task.stopping:
-                    continue
-                if machine.drain_reason == "emptied":
-                    self._migrate_replicas(task, now)
-                    continue
-                if task.state is TaskState.COMMITTED and spec.kind is not Kind.GANG:
-                    self.cluster.request_stop(task, 0.0, now, machine.drain_reason)
-                    continue
-                saves = spec.checkpoint_s > 0
-                if machine.drain_reason == "notice" and left > (spec.save_s + 4.0 if saves else 3.0):
-                    if spec.kind is Kind.SERVICE or not saves:
-                        ran = now - task.running_since if task.running_since is not None else 0.0
-                        if spec.kind is not Kind.SERVICE and self.cluster.estimate_s(task.job) - ran < left:
-                            continue
-                    else:
-                        continue
-                grace = task.job.grace_s
-                if spec.kind is Kind.GANG:
-                    for other in list(task.job.active.values()):
-                        self.cluster.request_stop(other, grace, now, machine.drain_reason)
-                else:
-                    self.cluster.request_stop(task, grace, now, machine.drain_reason)
+                if not task.stopping:
+                    self._drain_task(task, remaining_s, now)
+
+    def _drain_task(self, task: Task, remaining_s: float, now: float) -> None:
+        """Stop a task on a machine that is reclaimed in `remaining_s`, unless it may run on for now."""
+        kind, reason = task.job.spec.kind, task.machine.drain_reason
+        if reason == CONSOLIDATION:
+            self._migrate_replica(task, now)
+            return
+        if task.state is TaskState.COMMITTED and kind is not Kind.GANG:
+            self.cluster.request_stop(task, 0.0, now, reason)
+            return
+        if reason == RECLAIM_NOTICE and self._may_run_on(task, remaining_s, now):
+            return
+        grace_s = task.job.grace_s
+        if kind is Kind.GANG:
+            for member in list(task.job.active.values()):
+                self.cluster.request_stop(member, grace_s, now, reason)
+        else:
+            self.cluster.request_stop(task, grace_s, now, reason)
+
+    def _may_run_on(self, task: Task, remaining_s: float, now: float) -> bool:
+        """Is there time left before the machine is reclaimed: to save later, or to finish?"""
+        spec = task.job.spec
+        saves = spec.checkpoint_s > 0
+        if remaining_s <= (spec.save_s + SAVE_MARGIN_S if saves else STOP_MARGIN_S):
+            return False
+        if spec.kind is Kind.SERVICE:
+            return False
+        if saves:
+            return True
+        ran_s = now - task.running_since if task.running_since is not None else 0.0
+        return self.cluster.estimate_s(task.job) - ran_s < remaining_s
--- a/winglift/controller/failover.py
+++ b/winglift/controller/failover.py
@@ -1,7 +1,7 @@
-"""Moments that a leader hands to the next one by way of the book: what is being emptied, refused, stopped, kept.
+"""Failover hints, which a leader passes to its successor in the intent log: drains, refusals, stops, reservations.
 
-None of them is a promise: what the book had no room for, or what changed since it was written, begins anew as it did
-before. Times are times of day; a moment that lies further off than it ever may is cut to what it may be.
+A hint is no promise: what did not fit into the intent log, or has changed since it was written, starts from the
+beginning. Times in the record are times of day (s); a time further ahead than its limit allows is cut to that limit.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from ..model.machine_state import MachineEvent, MachineState
 from ..model.records import InvalidRecord
 from ..wire.users import Kind
-from .draining import Drainer
+from .draining import RECLAIM_NOTICE, Drainer
 from .gang_reservations import GangReservation
 from .snapshot_builder import SnapshotBuilder
 
@@ -24,7 +24,7 @@
 
 
 class FailoverHints:
-    """Writes the moments that a successor must know into the duty page, and takes over those of the holder before."""
+    """Writes the failover hints for a successor, and applies those of the previous leader."""
 
     def __init__(
         self, cluster: ClusterState, inventory: Inventory, drainer: Drainer, snapshot_builder: SnapshotBuilder
@@ -33,68 +33,78 @@
         self.inventory = inventory
         self.drainer = drainer
         self.snapshot_builder = snapshot_builder
-        self._draining: dict[str, str] = {}  # machines not seen yet that the holder before was emptying
+        self._draining: dict[
+            str, str
+        ] = {}  # machines not known here yet that the previous leader was draining, with the reason
 
-    # -- for the next holder -------------------------------------------------------------------
+    # -- for the successor ---------------------------------------------------------------------
 
     def add_hints(self, record: IntentRecord, now: float, today: float) -> None:
-        """Fill in what a successor should know, the first of each sort."""
-        most = constants.FAILOVER_HINTS_MAX
-        # A notice comes with the machine's next report anyhow.
+        """Fill the hints into the record, at most `FAILOVER_HINTS_MAX` of each kind.
+
+        `now` is monotonic time and `today` the time of day, both in seconds.
+        """
+        limit = constants.FAILOVER_HINTS_MAX
+        # A reclaim notice is repeated in the machine's next report.
         draining = [
-            (m.name, m.drain_reason)
-            for m in self.cluster.machines.values()
-            if m.state is MachineState.DRAINING and m.drain_reason != "notice"
+            (machine.name, machine.drain_reason)
+            for machine in self.cluster.machines.values()
+            if machine.state is MachineState.DRAINING and machine.drain_reason != RECLAIM_NOTICE
         ]
-        record.draining = dict([*draining, *self._draining.items()][:most])
+        record.draining = dict([*draining, *self._draining.items()][:limit])
         record.capacity_refusals = [
             (*key, round(today + until - now, 1))
             for key, until in self.inventory.capacity_refusals.items()
             if until > now
-        ][:most]
+        ][:limit]
         record.next_migration_at = (
             round(today + self.drainer.next_migration_at - now, 1) if self.drainer.next_migration_at > now else 0.0
         )
         stopping = [
-            (j.ref, t.attempt)
-            for j in self.cluster.jobs.values()
-            if j.kind is Kind.GANG and j.is_open
-            for t in j.active.values()
-            if t.stopping
+            (job.ref, task.attempt)
+            for job in self.cluster.jobs.values()
+            if job.kind is Kind.GANG and job.is_open
+            for task in job.active.values()
+            if task.stopping
         ]
-        record.stopping_gangs = dict(list(dict(stopping).items())[:most])
+        record.stopping_gangs = dict(list(dict(stopping).items())[:limit])
         record.reserved_for_gangs = {
-            ref: (round(today + kept.since - now, 1), pack_names(kept.machines))
-            for ref, kept in list(self.snapshot_builder.gang_reservations.by_job.items())[:most]
+            ref: (round(today + reservation.since - now, 1), pack_names(reservation.machines))
+            for ref, reservation in list(self.snapshot_builder.gang_reservations.by_job.items())[:limit]
         }
         record.failed_on = {
-            j.ref: list(j.failed_on) for j in self.cluster.jobs.values() if j.is_open and job_is_suspect(j, now)
+            job.ref: list(job.failed_on)
+            for job in self.cluster.jobs.values()
+            if job.is_open and job_is_suspect(job, now)
         }
-        while len(record.failed_on) > most:
+        while len(record.failed_on) > limit:
             record.failed_on.popitem()
 
-    # -- from the holder before ----------------------------------------------------------------
+    # -- from the previous leader --------------------------------------------------------------
 
     def apply_hints(self, record: IntentRecord, now: float, today: float) -> None:
-        """Go on where the holder before stopped. Records are loaded; nothing has been decided yet."""
+        """Continue what the previous leader had begun. Records are loaded; nothing has been decided yet.
+
+        `now` is monotonic time and `today` the time of day, both in seconds.
+        """
         cluster, inventory = self.cluster, self.inventory
         self._draining = dict(record.draining)
         self.resume_draining()
         for mtype, zone, spot, until in record.capacity_refusals:
-            left = min(until - today, constants.NO_CAPACITY_PAUSE_S)
-            if left > 0:
-                inventory.capacity_refusals[mtype, zone, spot] = now + left
+            remaining_s = min(until - today, constants.NO_CAPACITY_PAUSE_S)
+            if remaining_s > 0:
+                inventory.capacity_refusals[mtype, zone, spot] = now + remaining_s
         if record.next_migration_at > today:
             self.drainer.next_migration_at = now + min(
                 record.next_migration_at - today, constants.MIGRATION_PAUSE_MAX_S
             )
         for ref, attempt in record.stopping_gangs.items():
             job = cluster.jobs.get(ref)
-            # A later attempt has been placed since the book was written: it was not meant.
-            if job is not None and job.is_open and any(t.attempt == attempt for t in job.active.values()):
-                # Parts of it have been told: the others are told too, as soon as they are heard, so that the gang ends
-                # in order and is not found in half.
-                log.info("%s was being stopped when term %d began: the stop goes on", ref, cluster.term)
+            # An attempt placed after the record was written is not the one that was being stopped.
+            if job is not None and job.is_open and any(task.attempt == attempt for task in job.active.values()):
+                # Some members have received the stop command. The others receive it with their next report, so that
+                # the gang ends in order and is not left with half of its members.
+                log.info("gang stop resumed: job=%s term=%d", ref, cluster.term)
                 cluster.request_stop_of_all(job, now, "an earlier term has begun to stop it", job.grace_s)
         for ref, (since, names) in record.reserved_for_gangs.items():
             try:
@@ -102,16 +112,16 @@
                     unpack_names(names), now - max(0.0, today - since)
                 )
             except InvalidRecord as err:
-                # A moment is no promise: it must not keep a holder from its duties.
-                log.error("room kept for %s: %s", ref, err)
+                # A hint is no promise: an invalid one must not prevent the leader from taking up its duties.
+                log.error("gang reservation invalid: job=%s error=%s", ref, err)
         for ref, machines in record.failed_on.items():
             job = cluster.jobs.get(ref)
             if job is not None and job.is_open and not job.failed_on:
                 job.failed_on = dict.fromkeys(machines[-constants.AVOIDED_MACHINES_MAX :])
 
     def resume_draining(self) -> None:
-        """Machines that were being emptied go on being emptied once they are known here."""
-        for name in [n for n in self._draining if n in self.cluster.machines]:
+        """Resume the drains of the previous leader, each once its machine is known here."""
+        for name in [name for name in self._draining if name in self.cluster.machines]:
             machine, reason = self.cluster.machines[name], self._draining.pop(name)
             if machine.state in (MachineState.UP, MachineState.INHERITED, MachineState.BOOTING):
                 machine.drain_reason = reason
--- a/winglift/controller/free_capacities.py
+++ b/winglift/controller/free_capacities.py
@@ -35,7 +35,7 @@
         self.types = cluster.types
         self.inventory = inventory
         self._inspections: dict[str, MachineInspection] = {}
-        # Most running machines are as they were a cycle ago: building all capacities anew took a quarter of a leader's
+        # Most running machines are as they were a cycle ago: rebuilding all capacities took a quarter of a leader's
         # work at 970 machines.
         self._cached: dict[str, CachedCapacity] = {}
         self._unheard_s = UNHEARD_REPORTS * settings.settings.workers.report_s
@@ -65,8 +65,8 @@
         machines = self.cluster.machines
         if len(self._inspections) + len(self._cached) <= 4 * len(machines) + constants.INSPECTIONS_SPARE:
             return
-        self._inspections = {name: kept for name, kept in self._inspections.items() if name in machines}
-        self._cached = {name: kept for name, kept in self._cached.items() if name in machines}
+        self._inspections = {name: inspection for name, inspection in self._inspections.items() if name in machines}
+        self._cached = {name: cached for name, cached in self._cached.items() if name in machines}
 
     def _requested_capacities(self, now: float) -> list[policy_snapshot.FreeCapacity]:
         """Rentals whose answer is outstanding count as booting."""
@@ -111,7 +111,7 @@
         return None
 
     def _inherited_capacity(self, machine: Machine, mtype: MachineType) -> policy_snapshot.FreeCapacity:
-        """It reports soon, unless it is lost: till then what its tasks leave free counts like a machine that boots."""
+        """It reports soon, unless it is lost: until then, what its tasks leave free counts like a booting machine."""
         load = machine.usage()
         return policy_snapshot.FreeCapacity(
             machine.name,
@@ -146,7 +146,7 @@
     def _running_capacity(
         self, machine: Machine, mtype: MachineType, now: float
     ) -> policy_snapshot.FreeCapacity | None:
-        """Built anew only if the machine has changed since the last build, or if a plan has taken capacity of it."""
+        """Rebuilt only if the machine has changed since the last build, or if a plan has taken capacity of it."""
         if now - (machine.last_heard or 0) > self._unheard_s:
             return None
         load = machine.usage()
@@ -176,12 +176,13 @@
         )
 
     def _inspect(self, machine: Machine) -> tuple[list[policy_snapshot.Victim], list[policy_snapshot.MovableReplica]]:
-        """As `inspect_tasks`, kept until the machine's tasks change: most stay as they are for some cycles."""
+        """As `inspect_tasks`, cached until the machine's tasks change: most stay as they are for some cycles."""
         load, within, now = machine.usage(), self._within_guarantee, self._now
-        kept = self._inspections.get(machine.name)
-        if kept is None or kept.load is not load or now - kept.at > constants.INSPECTION_KEPT_S:
-            kept = self._inspections[machine.name] = MachineInspection(load, now, *inspect_tasks(machine, within, now))
-        return kept.victims, kept.movable_replicas
+        inspection = self._inspections.get(machine.name)
+        if inspection is None or inspection.load is not load or now - inspection.at > constants.INSPECTION_KEPT_S:
+            inspection = MachineInspection(load, now, *inspect_tasks(machine, within, now))
+            self._inspections[machine.name] = inspection
+        return inspection.victims, inspection.movable_replicas
 
 
 def _fill(capacity: policy_snapshot.FreeCapacity, mtype: MachineType, load: MachineUsage, empty: bool) -> None:
--- a/winglift/controller/machine_inspection.py
+++ b/winglift/controller/machine_inspection.py
@@ -1,4 +1,4 @@
-"""What runs on one machine, as the policy sees it: tasks that might be preempted, replicas that could move."""
+"""What runs on one machine, as the policy sees it: preemptible tasks and movable replicas."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineInspection:
-    """What was found on a machine, for a given state of its tasks."""
+    """The preemptible tasks and movable replicas of a machine whose usage was `load` at `at` (monotonic, s)."""
 
     load: MachineUsage
     at: float
@@ -24,7 +24,10 @@
 def inspect_tasks(
     machine: Machine, within: set[str], now: float
 ) -> tuple[list[policy_snapshot.Victim], list[policy_snapshot.MovableReplica]]:
-    """What on a machine might be stopped for other work, and what could be started elsewhere."""
+    """The tasks on a machine that may be preempted, and its replicas that could be migrated.
+
+    `within` are the jobs that their teams' guarantees cover; `now` is monotonic time (s).
+    """
     victims: list[policy_snapshot.Victim] = []
     replicas: list[policy_snapshot.MovableReplica] = []
     for task in machine.tasks.values():
@@ -46,6 +49,8 @@
                 )
             )
         elif task.is_running_replica:
-            ran = now - (task.running_since if task.running_since is not None else now)
-            replicas.append(policy_snapshot.MovableReplica(task.job.ref, spec, zone_counts(task.job), ran, task.index))
+            ran_s = now - (task.running_since if task.running_since is not None else now)
+            replicas.append(
+                policy_snapshot.MovableReplica(task.job.ref, spec, zone_counts(task.job), ran_s, task.index)
+            )
     return victims, replicas
--- a/winglift/controller/record_watcher.py
+++ b/winglift/controller/record_watcher.py
@@ -1,4 +1,4 @@
-"""The leader follows the job records: all of them once, then every change."""
+"""Watches the job records for the leader: lists all of them once, then follows every change."""
 
 from __future__ import annotations
 
@@ -19,9 +19,16 @@
 
 log = logging.getLogger(__name__)
 
+LIST_RETRY_S = 0.5
+WATCH_RETRY_S = 0.3
+
 
 class RecordWatcher:
-    """`on_new` hears of each open job once; `wake` is called when something has changed."""
+    """Applies job records to the cluster state, in the order of their versions.
+
+    `on_new` is called once for each open job, with its time of submission (time of day, s) and its specification;
+    `wake` is called when something has changed.
+    """
 
     def __init__(
         self,
@@ -39,7 +46,7 @@
         self._seen_refs: set[str] = set()
 
     async def run(self) -> None:
-        """Load all records, then follow their changes. The picture is rebuilt before anything is placed."""
+        """Load all records, then follow their changes. Nothing is placed before the cluster state is rebuilt."""
         while True:
             try:
                 sent = monotonic_time()
@@ -51,20 +58,20 @@
                 self.cluster.records_current_at = sent
                 if not self.loaded:
                     log.info(
-                        "term %d: %d records, %d jobs open, %d machines named",
+                        "records loaded: term=%d records=%d open_jobs=%d machines=%d",
                         self.cluster.term,
                         len(items),
-                        sum(j.is_open for j in self.cluster.jobs.values()),
+                        sum(job.is_open for job in self.cluster.jobs.values()),
                         len(self.cluster.machines),
                     )
                 self.loaded = True
                 self.cluster.changed = True
                 await self._watch()
             except RevisionCompacted:
-                log.info("the watch fell behind; reading all records again")
+                log.info("record watch compacted: listing all records again")
             except (RequestRejected, OutcomeUnknown) as err:
-                log.debug("records: %s", err)
-                await asyncio.sleep(0.5)
+                log.debug("record list failed: error=%s", err)
+                await asyncio.sleep(LIST_RETRY_S)
 
     async def _watch(self) -> None:
         while True:
@@ -72,8 +79,8 @@
             try:
                 changes = await self.state.changes(records.JOB_PREFIX, self._revision)
             except (RequestRejected, OutcomeUnknown) as err:
-                log.debug("watch: %s", err)
-                await asyncio.sleep(0.3)
+                log.debug("record watch failed: error=%s", err)
+                await asyncio.sleep(WATCH_RETRY_S)
                 continue
             now = monotonic_time()
             for event in changes.events:
@@ -90,14 +97,15 @@
         try:
             self.apply_record(ref, version, records.decode(value), now)
         except records.InvalidRecord as err:
-            log.error("record of %s is left alone: %s", ref, err)
+            log.error("record invalid, ignored: job=%s error=%s", ref, err)
 
     def apply_record(self, ref: str, version: int, record: records.JobRecord, now: float) -> None:
-        """A record that this node or another has committed."""
+        """Apply a record that this node or another has committed; `now` is monotonic time (s)."""
         job = self.cluster.jobs.get(ref)
         if job is not None and job.write_in_flight and record.state != JobState.CANCELLED.value:
-            # Perhaps our own write, whose answer is still under way: it is compared once that is here. A cancellation
-            # is not put off: it is final whatever becomes of the write, which an outage may leave without an answer.
+            # Perhaps this node's own write, whose response is outstanding: it is compared once that has come. A
+            # cancellation is not deferred: it is final whatever becomes of the write, which an outage may leave
+            # without a response.
             if version > job.version and (job.deferred_change is None or version > job.deferred_change[0]):
                 job.deferred_change = (version, records.encode(record))
                 if job.known_open_before_write is None:
--- a/winglift/controller/snapshot_builder.py
+++ b/winglift/controller/snapshot_builder.py
@@ -130,7 +130,7 @@
                     demands.append(demand)
             else:
                 job.unplaced_since = math.inf
-            if job.spec.kind is Kind.SERVICE and any(t.state is TaskState.FETCHING for t in job.active.values()):
+            if job.spec.kind is Kind.SERVICE and any(task.state is TaskState.FETCHING for task in job.active.values()):
                 stalled += self.demands.stalled_replicas(job, now)
         return demands, stalled
 
--- a/winglift/controller/stop_cost.py
+++ b/winglift/controller/stop_cost.py
@@ -1,4 +1,4 @@
-"""What stopping a task would cost: work that it has not saved, and a gang its start."""
+"""What stopping a task would cost: its unsaved work, and for a gang its start."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 def lost_work_s(task: Task, now: float) -> float:
-    """Work that stopping a task costs: what it has not saved, and the way to its next start.
+    """The work, in seconds, that stopping a task costs: what it has not saved, and the time to its next start.
 
-    Tasks that still fetched once counted as costing nothing: 40 gangs were stopped 970 times in the first 100 s.
+    When tasks that were still fetching counted as costing nothing, 40 gangs were stopped 970 times in the first 100 s.
     """
     if task.running_since is None:
         return constants.RESTART_S + now - task.state_since
-    ran = now - task.running_since
-    return constants.RESTART_S + (min(ran, task.job.spec.save_s) if task.job.spec.checkpoint_s > 0 else ran)
+    ran_s = now - task.running_since
+    return constants.RESTART_S + (min(ran_s, task.job.spec.save_s) if task.job.spec.checkpoint_s > 0 else ran_s)
 
 
 def loses_gang_start(task: Task, now: float) -> bool:
--- a/winglift/controller/warm_pool_targets.py
+++ b/winglift/controller/warm_pool_targets.py
@@ -1,4 +1,4 @@
-"""Warm room for job classes that must start sooner than a machine boots, sized by their recent arrivals."""
+"""Warm pools for job classes that must start sooner than a machine boots, sized by their recent arrivals."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def warm_pool_targets(
     aims: dict[str, float], recent: Iterable[Arrival], types: dict[str, MachineType], script: Script, wall: float
 ) -> list[WarmPoolTarget]:
-    """The room to be kept warm for each class, by its arrivals within `WARM_POOL_WINDOW_S` before `wall`."""
+    """The warm pool of each class, by its arrivals within `WARM_POOL_WINDOW_S` before `wall` (time of day, s)."""
     classes: dict[str, list[Arrival]] = {}
     for when, spec in recent:
         if spec.job_class in aims and wall - when < constants.WARM_POOL_WINDOW_S:
