--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -1,11 +1,10 @@
-"""The leader's work: observe, decide, commit, act. One object per term."""
+"""The leader's work in one term: observe, decide, commit, act."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 import math
-from collections.abc import Awaitable, Callable
 
 from .. import constants
 from ..cloud.client import CloudClient
@@ -45,15 +44,18 @@
 from .plan_executor import PlanExecutor
 from .record_watcher import RecordWatcher
 from .snapshot_builder import SnapshotBuilder
+from .supervised_tasks import SupervisedTasks
 
 log = logging.getLogger(__name__)
 
-TASK_RETRY_S = 0.5  # after an unexpected error in one of the leader's tasks
 SLOW_CYCLE_S = 0.1  # a planning cycle that takes longer is logged
 
 
 class LeaderTerm:
-    """Leads for one term: observes reports and records, plans, commits and acts."""
+    """Leads for one term: observes reports and records, plans, commits and acts.
+
+    It decides nothing before all job records and the intent log are loaded, and acts only while its lease is valid.
+    """
 
     def __init__(
         self,
@@ -75,7 +77,7 @@
         self.script = script
         self.cluster = ClusterState(settings, types, self.term)
         self.duties = Duties(self.leadership)
-        self._tasks: list[asyncio.Task[None]] = []
+        self._tasks = SupervisedTasks()
         self._resignation: asyncio.Future[None] | None = None
         self._pacer = CyclePacer()
         self._replicas_wait = False  # for free capacity, by the last plan: each cycle may find some
@@ -88,7 +90,7 @@
         self._inherit_fleet_summary()
 
     def _build_duties(self, cloud: CloudClient) -> None:
-        """What this term writes to the state store and to the cloud, each under its duty's fence."""
+        """Components that write to the state store and to the cloud, each under its duty's fence."""
         state, limits, fence = self.state, self.settings.settings.state, self.duties.fence
         lag_s = self.settings.settings.cloud.list_lag_s
         self.intent_log = IntentLog(state, limits, fence, lag_s)
@@ -101,12 +103,12 @@
         self.garbage_collector.sweepers.append(ImageCacheSweeper(state, self.cluster))
 
     def _build_worker_contacts(self) -> None:
-        """What calls workers directly, beside the answers to their reports."""
+        """Components that call workers directly, besides the answers to their reports."""
         self.task_stopper = TaskStopper(self.cluster, self.leadership, self.may_only_enforce_cancellations)
         self.prober = Prober(self.cluster, self.leadership)
 
     def _build_planning(self) -> None:
-        """What makes the policy's snapshot and carries its plan out."""
+        """Components that build the policy's snapshot and carry out its plan."""
         cluster, inventory, script = self.cluster, self.inventory, self.script
         self.snapshot_builder = SnapshotBuilder(self.settings, cluster, inventory, script, self._may_rent)
         self.plan_executor = PlanExecutor(cluster, self.batcher, self.snapshot_builder)
@@ -114,7 +116,7 @@
         self.failover_hints = FailoverHints(cluster, inventory, self.drainer, self.snapshot_builder)
 
     def _build_observers(self) -> None:
-        """What follows the workers' reports and the job records, and who else hears of them."""
+        """Components that watch workers and job records, and send the fleet summary to other nodes."""
         settings = self.settings
         self.failure_detector = FailureDetector(
             self.cluster,
@@ -129,7 +131,7 @@
         self.cluster.on_urgent = self._pacer.wake_urgently
 
     def _inherit_fleet_summary(self) -> None:
-        """Begin with what the last fleet summary of the leader before said of images and silent machines."""
+        """Take cached images and silent machines from the previous leader's last fleet summary."""
         fleet, fleet_at = self.peers.fleet, self.peers.fleet_at
         self.cluster.inherited_images = dict(fleet.images)
         self.cluster.silent_since = {name: fleet_at - silent_s for name, silent_s in fleet.silent.items()}
@@ -138,10 +140,9 @@
         self.failover_hints.add_hints(record, monotonic_time(), wall_time())
 
     def start(self) -> None:
-        """Begin the leader's tasks; nothing is decided before records and duty page are loaded."""
-        self._tasks = [
-            asyncio.ensure_future(self._run_supervised(job))
-            for job in (
+        """Start the leader's tasks; nothing is decided before job records and intent log are loaded."""
+        self._tasks.start(
+            (
                 self._load_image_caches,
                 self.record_watcher.run,
                 self._fail_over,
@@ -150,12 +151,11 @@
                 self.garbage_collector.run,
                 self._run_cycles,
             )
-        ]
+        )
 
     def stop(self) -> None:
-        """End all tasks of this term. What is on its way is found by a successor in records and duty page."""
-        for task in self._tasks:
-            task.cancel()
+        """Cancel all tasks of this term. A successor finds unfinished operations in job records and intent log."""
+        self._tasks.cancel()
         self.duties.sync_with_lease()
         self.duties.relinquish()
         self.inventory.stop()
@@ -165,32 +165,20 @@
         self.image_cache_snapshots.stop()
 
     async def _load_image_caches(self) -> None:
-        """What the leader before knew of images, if it could not tell: all nodes had ended."""
+        """Load the image caches from the state store if no fleet summary was received: all nodes had ended."""
         if not self.cluster.inherited_images:
             self.cluster.inherited_images = await self.image_cache_snapshots.load()
-            log.debug("images of %d machines are known", len(self.cluster.inherited_images))
-
-    async def _run_supervised(self, job: Callable[[], Awaitable[None]]) -> None:
-        """The outermost frame of each task: an unexpected error in one pass must not end the leader's work."""
-        while True:
-            try:
-                await job()
-                return
-            except asyncio.CancelledError:
-                raise
-            except Exception:
-                log.exception("leader task failed: task=%s", job.__name__)
-                await asyncio.sleep(TASK_RETRY_S)
+            log.debug("image caches loaded: machines=%d", len(self.cluster.inherited_images))
 
     # -- observe -------------------------------------------------------------------------------
 
     @property
     def loaded(self) -> bool:
-        """Are all records and the book known? Before that nothing is decided and nothing commanded."""
+        """Are job records and intent log loaded? Before that nothing is decided and nothing commanded."""
         return self.duties[DutyName.PLACEMENT].state is not DutyState.ACQUIRING
 
     async def _fail_over(self) -> None:
-        """Go on with what the holder before had begun. The book and the records are read side by side."""
+        """Continue what the previous leader had begun. Intent log and job records are read concurrently."""
         await self.intent_log.load()
         while not self.record_watcher.loaded:
             await asyncio.sleep(constants.FAILOVER_POLL_S)
@@ -199,7 +187,7 @@
         self.duties.mark_ready(DutyName.PLACEMENT)
         self.inventory.resume_operations(now)
         log.info(
-            "term %d takes over %d rentals and %d deletions that were begun, %d of them without an answer",
+            "failover complete: term=%d rentals=%d deletions=%d unanswered=%d",
             self.term,
             len(self.intent_log.rentals),
             len(self.intent_log.deletions),
@@ -212,42 +200,51 @@
         self._pacer.wake()
 
     def may_use_cloud(self) -> bool:
-        """Asked as the last thing before each call that changes something there, after every wait for a turn."""
+        """May this term change something in the cloud now? Checked last before each such call, after every wait."""
         return self.duties.may_act(DutyName.PLACEMENT, monotonic_time())
 
     def _may_rent(self) -> bool:
-        """Whatever was rented before is known: by the book what is too new for the list, by the list the rest."""
+        """May machines be rented: are all earlier rentals known, and has any machine reported?
+
+        The intent log names the rentals that are too new for the inventory's lagging list; the list names the others.
+        """
         return (
             self.duties.may_act(DutyName.CLOUD_OPERATIONS, monotonic_time())
             and not self.failure_detector.nothing_heard_yet
         )
 
     def apply_record(self, ref: str, version: int, record: records.JobRecord) -> None:
-        """A record that this node or another has committed."""
+        """Apply a record that this node or another has committed."""
         self.record_watcher.apply_record(ref, version, record, monotonic_time())
 
     def handles_cancellation(self, ref: str) -> bool:
-        """Does this leader know that the job is cancelled, and can it act?"""
+        """Does this leader know that the job is cancelled, and may it act?"""
         if not self.loaded or not (self.leadership.entitled(monotonic_time()) or self.may_only_enforce_cancellations()):
             return False
         job = self.cluster.jobs.get(ref)
         return job is None or job.state is JobState.CANCELLED
 
     def has_cleared_job(self, ref: str) -> bool:
-        """Has this leader proven all tasks of a cancelled job off?"""
+        """Has this leader proof that all tasks of a cancelled job have stopped?"""
         job = self.cluster.jobs.get(ref)
         return self.handles_cancellation(ref) and (job is None or not job.active)
 
     def on_machines_deleted_elsewhere(self, names: list[str]) -> None:
-        """Another node has deleted these machines, for tasks of cancelled jobs. They are room no more; that all on them
-        is gone, this leader proves by an answer of its own (invariant 2)."""
+        """Another node has deleted these machines, for tasks of cancelled jobs.
+
+        They are free capacity no more. That everything on them is gone, this leader proves by a response of its own
+        from the cloud (invariant 2).
+        """
         for name in names:
             machine = self.cluster.machines.get(name)
             if machine is not None and self.loaded:
                 self.inventory.delete(machine, "another node has deleted it for a cancelled task")
 
     def on_report(self, report: worker_messages.Report) -> list[worker_messages.Command] | None:
-        """Commands for a worker, or none while this node may not command: the answer renews its lease all the same."""
+        """Commands for a worker; none while this node may not command, although the answer still renews its lease.
+
+        Returns None if the reporting machine has been deleted.
+        """
         now = monotonic_time()
         if not self.loaded:
             return []
@@ -265,15 +262,16 @@
         return commands + due if entitled else due
 
     def has_pending_starts(self, name: str) -> bool:
-        """Are there starts that the next report's answer should carry?"""
+        """Are there starts that the answer to the machine's next report should carry?"""
         machine = self.cluster.machines.get(name)
         return machine is not None and any(
-            t.state in (TaskState.COMMITTED, TaskState.PROPOSED) for t in machine.tasks.values()
+            task.state in (TaskState.COMMITTED, TaskState.PROPOSED) for task in machine.tasks.values()
         )
 
     # -- decide --------------------------------------------------------------------------------
 
     async def _run_cycles(self) -> None:
+        """Run planning cycles until another node is found to lead."""
         while True:
             await self._pacer.wait_for_work()
             pause = rest = constants.CYCLE_S
@@ -296,9 +294,10 @@
             await self._pacer.rest(pause, rest)
 
     def _may_decide(self, now: float) -> bool:
-        """Is this node entitled, and since when without a break? A pause of its own ends that too."""
+        """Is this node entitled to decide? Records since when without a break; a pause of the process is a break."""
         if not self.leadership.entitled(now) or now > self._next_pass + constants.NODE_PAUSE_S:
-            # Reports wait unread in the sockets when a node wakes: what it has not heard is not the workers' silence.
+            # Reports wait unread in the sockets when a paused process resumes: that none was received does not show
+            # that the workers were silent.
             self.failure_detector.entitled_since = None
         self._next_pass = now + constants.IDLE_CYCLE_S
         if not self.leadership.entitled(now):
@@ -308,10 +307,10 @@
         return True
 
     def may_only_enforce_cancellations(self) -> bool:
-        """In an outage that all nodes share nobody can follow this leader, and cancel_s runs on.
+        """In an outage of the state store for all nodes, nobody can succeed this leader, and `cancel_s` runs on.
 
-        What it may still do is what a committed cancellation demands, which holds whoever leads: stop its tasks, and
-        delete machines that can't be told. If it is wrong about the outage, that costs a machine and breaks no rule.
+        It may still enforce committed cancellations, which hold whoever leads: stop their tasks, and delete machines
+        that cannot be reached. If it is wrong about the outage, that costs a machine and violates no invariant.
         """
         return (
             self.leadership.role is Role.DOUBTFUL
@@ -321,8 +320,8 @@
 
     def _enforce_cancellations(self, now: float) -> None:
         self._check_jobs(now)
-        for machine, why in self.failure_detector.machines_with_overdue_cancellations(now, wall_time()):
-            self.inventory.delete(machine, why)
+        for machine, reason in self.failure_detector.machines_with_overdue_cancellations(now, wall_time()):
+            self.inventory.delete(machine, reason)
 
     def _run_cycle(self, now: float) -> None:
         cluster = self.cluster
@@ -335,9 +334,9 @@
             # Reserves, returns and moves can wait a second; only waiting tasks are planned for at every change.
             if idle or any(job.has_waiting_tasks for job in cluster.jobs.values()):
                 self._last_plan = now
-                cut = self.failure_detector.unreachable_zones | self.failure_detector.unheard_zones
+                unreachable = self.failure_detector.unreachable_zones | self.failure_detector.unheard_zones
                 snapshot = self.snapshot_builder.build(
-                    now, self.drainer.may_migrate(now), cut, self.failure_detector.zones_with_controllers
+                    now, self.drainer.may_migrate(now), unreachable, self.failure_detector.zones_with_controllers
                 )
                 self._apply(make_plan(snapshot), now)
             self.drainer.drain(now)
@@ -356,7 +355,7 @@
                 self.cluster.forget_job(job)
             elif job.state is JobState.CANCELLED:
                 for task in job.active.values():
-                    # A stop that got lost is repeated: within cancel_s all its tasks must be gone.
+                    # A lost stop command is repeated: within `cancel_s` all tasks of the job must be gone.
                     if task.state in PRESENT and now - task.stop_sent_at > constants.STOP_REPEAT_S:
                         task.stop_sent_at = now
                         task.mark_stopping(0.0)
@@ -364,18 +363,19 @@
 
     def _check_machines(self, now: float) -> None:
         hears_anyone = not self.peers.by_node or self.peers.hears_anyone(now)
-        found = self.failure_detector.evaluate(now, wall_time(), hears_anyone, self.peers.hears_all(now))
-        if found.isolated:
+        verdicts = self.failure_detector.evaluate(now, wall_time(), hears_anyone, self.peers.hears_all(now))
+        if verdicts.isolated:
             self.duties.relinquish()
-            # Not cancelled by `stop`: the resignation itself ends this term. The reference keeps the task alive.
+            # Not cancelled by `stop`: the resignation itself ends this term. The reference protects the task from
+            # garbage collection.
             self._resignation = asyncio.ensure_future(self.election.resign("hears neither workers nor other nodes"))
-        for mtype, zone in found.failing_pools:
-            log.info("new machines of %s in %s stay dark: others are rented elsewhere", mtype, zone)
-        for machine, why in found.to_delete:
-            self.inventory.delete(machine, why)
-        for machine in found.to_retry:
+        for mtype, zone in verdicts.failing_pools:
+            log.info("machine pool failing: type=%s zone=%s, renting elsewhere", mtype, zone)
+        for machine, reason in verdicts.to_delete:
+            self.inventory.delete(machine, reason)
+        for machine in verdicts.to_retry:
             machine.move(MachineEvent.COMMANDS_ACKNOWLEDGED)
-        self.prober.probe(found.to_probe, found.control_machines)
+        self.prober.probe(verdicts.to_probe, verdicts.control_machines)
 
     # -- commit and act ------------------------------------------------------------------------
 
