--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -22,7 +22,7 @@
 
 
 def seen(snap: Snapshot) -> list[dict]:
-    """All that a plan can see of the rooms, with what a look at each shows."""
+    """All that a plan can see of the free capacities, with the inspection of each."""
     found = []
     for capacity in snap.capacities:
         shown = {
@@ -30,15 +30,15 @@
             for f in dataclasses.fields(FreeCapacity)
             if f.name not in ("inspector", "modified")
         }
-        shown["looks"] = capacity.inspector() if capacity.inspector is not None else None
+        shown["inspection"] = capacity.inspector() if capacity.inspector is not None else None
         found.append(shown)
     return found
 
 
 @settings(max_examples=40)
 @given(st.integers(0, 1000), st.lists(st.tuples(st.sampled_from(OPS), st.integers(0, 39)), min_size=4, max_size=16))
-def test_rooms_that_are_kept_are_as_rooms_made_anew(seed, ops):
-    """The same rooms, and the same plan, as by the plain way: all made anew for each cycle."""
+def test_cached_capacities_equal_rebuilt_ones(seed, ops):
+    """The same free capacities and the same plan as without the cache, where all are rebuilt for each cycle."""
     fleet = Fleet(40, seed)
     attended = None
     make_plan(fleet.snapshot_builder.build(fleet.now))
@@ -71,12 +71,12 @@
             fleet.job(Kind.GANG if number % 2 else Kind.ARRAY, number % 5 + 1, 4.0, 20.0)
         plain = fleet.fresh_view()
         plain.gang_reservations.by_job = dict(fleet.snapshot_builder.gang_reservations.by_job)
-        kept = fleet.snapshot_builder.build(fleet.now, zones_with_controllers=attended)
-        anew = plain.build(fleet.now, zones_with_controllers=attended)
-        # What a stop would cost is kept for some seconds, by INSPECTION_KEPT_S: it is compared as of the same moment.
+        cached = fleet.snapshot_builder.build(fleet.now, zones_with_controllers=attended)
+        rebuilt = plain.build(fleet.now, zones_with_controllers=attended)
+        # What a stop would cost is cached for INSPECTION_KEPT_S: it is compared as of the same time.
         fleet.snapshot_builder.free_capacities._inspections.clear()
-        assert seen(kept) == seen(anew)
-        assert make_plan(kept) == make_plan(anew)
+        assert seen(cached) == seen(rebuilt)
+        assert make_plan(cached) == make_plan(rebuilt)
 
 
 def test_what_a_cycle_costs_grows_no_faster_than_the_fleet():
@@ -84,7 +84,7 @@
     figures = {n: measure(n, cycles=3) for n in (50, 200, 600)}
     assert exponent([(n, found["cycle"][0]) for n, found in figures.items()]) < 1.0
     assert exponent([(n, found["report"][0]) for n, found in figures.items()]) < 0.05
-    # What is as it was costs a look at its state, and little else: some calls a machine and a job.
+    # What has not changed costs a check of its state, and little else: some calls a machine and a job.
     fleet = Fleet(600)
     fleet.snapshot_builder.build(fleet.now)
     fleet.change()
@@ -114,31 +114,33 @@
         )
 
 
-def test_only_who_is_due_at_once_or_lost_a_replica_cuts_the_planners_rest_short():
+def test_only_urgent_jobs_and_lost_replicas_end_the_planners_rest_early():
     fleet = Fleet(20)
-    hurried: list[int] = []
-    fleet.cluster.on_urgent = lambda: hurried.append(1)
+    wake_ups: list[int] = []
+    fleet.cluster.on_urgent = lambda: wake_ups.append(1)
 
-    def hurries(act) -> bool:
-        hurried.clear()
+    def is_urgent(act) -> bool:
+        wake_ups.clear()
         act()
-        return bool(hurried)
+        return bool(wake_ups)
 
-    assert not hurries(lambda: fleet.job(Kind.ARRAY, 3, 1.0, 5.0))
-    assert hurries(lambda: fleet.job(Kind.GANG, 1, 8.0, 43.0)) and hurries(lambda: fleet.job(Kind.SERVICE, 2, 1.0, 4.0))
+    assert not is_urgent(lambda: fleet.job(Kind.ARRAY, 3, 1.0, 5.0))
+    assert is_urgent(lambda: fleet.job(Kind.GANG, 1, 8.0, 43.0)) and is_urgent(
+        lambda: fleet.job(Kind.SERVICE, 2, 1.0, 4.0)
+    )
     running = {
         kind: next(t for j in fleet.cluster.jobs.values() if j.kind is kind for t in j.active.values()) for kind in Kind
     }
-    assert hurries(
+    assert is_urgent(
         lambda: fleet.cluster.transition_and_release(running[Kind.SERVICE], TaskEvent.MACHINE_GONE, fleet.now)
     )
-    assert not hurries(
+    assert not is_urgent(
         lambda: fleet.cluster.transition_and_release(running[Kind.ARRAY], TaskEvent.MACHINE_GONE, fleet.now)
     )
 
 
-def test_a_hurry_ends_the_rest_and_its_cause_is_planned_for(monkeypatch):
-    """In simulated time cycles take none: here each is told to rest for long."""
+def test_urgent_work_ends_the_rest_and_is_planned(monkeypatch):
+    """In simulated time cycles take none: here each one is made to rest for long."""
     monkeypatch.setattr("winglift.controller.leader_term.rest_s", lambda took: 30.0)
     scene = Scene(1, boot_s=2.0, run_s=5.0, lag_s=1.0)
     scene.net.loss = 0.0
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -71,7 +71,7 @@
     assert deleted == []
 
 
-def test_the_end_of_a_cut_deletes_nothing():
+def test_the_end_of_a_partition_deletes_nothing():
     made, deleted = leader(True, [(f"vm-{i}", "a", 985.0) for i in range(6)])
     check(made)
     for name in ("vm-0", "vm-1", "vm-2", "vm-3", "vm-4"):
@@ -91,17 +91,17 @@
     assert deleted == ["vm-0"]
 
 
-def test_a_node_out_of_hearing_may_be_keeping_a_machine_alive():
+def test_a_node_that_is_not_heard_may_be_renewing_a_machines_lease():
     made, deleted = leader(False, [("vm-1", "a", 985.0), ("vm-2", "a", 999.5), ("vm-3", "a", 999.5)])
     check(made)
     assert deleted == []
 
 
-def test_a_machine_that_only_the_lagging_list_names_promises_no_room():
+def test_a_machine_that_only_the_lagging_list_names_offers_no_capacity():
     """A successor once counted on machines that its predecessor had deleted, and rented nothing meanwhile."""
     made, _ = leader(True, [("vm-1", "a", None), ("vm-2", "a", 999.5)])
-    assert [r.name for r in made.snapshot_builder.build(983.0).capacities] == ["vm-1", "vm-2"]
-    assert [r.name for r in made.snapshot_builder.build(1000.0).capacities] == ["vm-2"]
+    assert [capacity.name for capacity in made.snapshot_builder.build(983.0).capacities] == ["vm-1", "vm-2"]
+    assert [capacity.name for capacity in made.snapshot_builder.build(1000.0).capacities] == ["vm-2"]
 
 
 def test_a_gang_that_never_fits_does_not_rent_for_ever():
@@ -132,7 +132,7 @@
 
 
 def test_a_new_leader_rents_in_no_zone_that_may_be_cut_off_until_it_has_heard_of_it():
-    """It has seen no silence yet, and with its machines out of reach a zone looks empty."""
+    """It has seen no silence yet, and with its machines out of reach a zone seems to be empty."""
 
     def at(now: float, heard: dict[str, float | None]):
         made, _ = leader(True, [(name, name[3], None) for name in ("vm-a1", "vm-a2", "vm-b1", "vm-b2")])
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -113,7 +113,7 @@
     leadership.extend_lease(now, constants.LEADER_LEASE_S)
     assert made._may_decide(now)
 
-    async def look() -> None:
+    async def check_machines() -> None:
         made._check_machines(now)
 
     for pause in pauses:
@@ -126,7 +126,7 @@
             leadership.extend_lease(now, constants.LEADER_LEASE_S)
             leadership.move(RoleEvent.RENEWED)
             assert made._may_decide(now)
-        asyncio.run(look())
+        asyncio.run(check_machines())
         assert deleted == []
         for machine in made.cluster.machines.values():
             machine.last_heard = now
--- a/tests/test_successors.py
+++ b/tests/test_successors.py
@@ -33,7 +33,7 @@
 
 WORKERS = settings().settings.workers
 SKEW_S = 2.0
-EPOCH = 1.7e9  # time of day at the true time 0, when the user is told
+EPOCH = 1.7e9  # time of day at the true time 0, when the cancellation is confirmed to the user
 DELETION_S = 3.0  # the longest that a deletion takes which the cloud answers at the first try
 LIMIT = WORKERS.cancel_s * constants.CANCEL_DELETE_SHARE
 HEAR = WORKERS.report_s * constants.CANCEL_HEAR_REPORTS
@@ -51,7 +51,7 @@
 
 
 class Leader:
-    """One leader's picture and judgement, on its own clocks: `began` and all times are true ones."""
+    """One leader's cluster state and failure detector, on its own clocks; `began` and all times are true times."""
 
     def __init__(self, began: float, steady0: float, skew_s: float, value: bytes) -> None:
         self.steady0, self.skew_s = steady0, skew_s
@@ -65,7 +65,7 @@
         return self.steady0 + true
 
     def gives_up(self, true: float) -> str | None:
-        for name, zone in (("vm-1", "a"), ("vm-2", "b")):  # others are heard, so this leader is not deaf
+        for name, zone in (("vm-1", "a"), ("vm-2", "b")):  # others are heard, so this leader is not isolated
             machine = self.cluster.register_machine(name, "g4", zone, False, self.steady(true), 90.0)
             machine.state, machine.last_heard = MachineState.UP, self.steady(true)
         found = self.failure_detector.evaluate(self.steady(true), EPOCH + true + self.skew_s, True, True)
@@ -98,7 +98,7 @@
             if one.gives_up(at):
                 deleted = at
             at += step
-        # What a successor writes keeps the moment for the one after it.
+        # What a successor writes preserves the time of the cancellation for its own successor.
         value = records.encode(pack(one.cluster.jobs["wk-1"]))
     last = begins[-1]
     assert deleted <= max(LIMIT, last + HEAR) + 2 * step
@@ -110,7 +110,7 @@
     "ago,at_once",
     [(5.0, False), (LIMIT + 1, False), (0.8 * WORKERS.cancel_s, True), (3 * WORKERS.cancel_s, False), (None, False)],
 )
-def test_a_successor_hears_a_machine_first_unless_the_last_moment_is_near(ago, at_once):
+def test_a_successor_waits_for_a_machines_report_unless_the_deadline_is_near(ago, at_once):
     """Most machines have long stopped their tasks, and only the record lags: after an outage of 40 s all machines of a
     cancelled array of 100 tasks would have been deleted at once. A record without its time counts as old."""
     one = Leader(0.0, 500.0, 0.0, records.encode(record_of(EPOCH - ago if ago is not None else None)))
@@ -162,9 +162,9 @@
     made.duties.mark_ready(DutyName.PLACEMENT)
     made.leadership.role, made.leadership.valid_until = Role.DOUBTFUL, 0.0
     made.term = made.cluster.term = 3
-    told: list[str] = []
+    stop_commands: list[str] = []
     made.cluster.on_stop = lambda task: None
-    made.task_stopper = SimpleNamespace(add=lambda task: told.append(task.name))  # type: ignore[assignment]
+    made.task_stopper = SimpleNamespace(add=lambda task: stop_commands.append(task.name))  # type: ignore[assignment]
     for ref, state in (("wk-1", "c"), ("wk-2", "o")):
         apply_record(
             made.cluster,
@@ -190,13 +190,13 @@
     if made.may_only_enforce_cancellations():
         made._enforce_cancellations(1000.0)
     assert halted == ([] if elsewhere else ["wk-1/0"])
-    assert told == ([] if elsewhere else ["wk-1/0"])
+    assert stop_commands == ([] if elsewhere else ["wk-1/0"])
     # One was heard and holds it all the same, one was not heard for as long as a new leader waits.
     assert sorted(deleted) == ([] if elsewhere else ["vm-2", "vm-9"])
 
 
-@pytest.mark.parametrize("named,look,ends", [("node-0", 1, True), ("node-1", 1, False), ("node-0", 2, False)])
-def test_a_node_that_led_before_it_ended_does_not_wait_for_its_own_lease(named, look, ends):
+@pytest.mark.parametrize("named,attempt,ends", [("node-0", 1, True), ("node-1", 1, False), ("node-0", 2, False)])
+def test_a_node_that_led_before_it_ended_does_not_wait_for_its_own_lease(named, attempt, ends):
     """After all nodes had ended, nobody knew that the leader was gone, and 2 s of its lease were waited for."""
     released: list[int] = []
 
@@ -212,7 +212,7 @@
     async def scenario() -> None:
         election = Election(State(), "node-0", lambda: None)  # type: ignore[arg-type]
         election.campaign_requested.set()
-        election._first_look = look == 1
+        election._first_look = attempt == 1
         await election._follow()
         assert election.known_term == 7
 
@@ -229,10 +229,10 @@
 
 @given(IMAGES, st.sampled_from([300, 1000, 4000]))
 def test_images_survive_the_end_of_all_nodes_as_far_as_they_fit(images, most):
-    pages = image_cache_record.pack(images, most)
-    assert all(len(value) <= most for value in pages.values())
-    assert {key for key in pages} <= {f"image/{n}" for n in range(constants.IMAGE_CACHE_RECORDS)}
-    again = image_cache_record.unpack(pages.values())
+    cache_records = image_cache_record.pack(images, most)
+    assert all(len(value) <= most for value in cache_records.values())
+    assert {key for key in cache_records} <= {f"image/{n}" for n in range(constants.IMAGE_CACHE_RECORDS)}
+    again = image_cache_record.unpack(cache_records.values())
     for machine, held in again.items():
         # In the order of use, the least recently used left out first.
         kept = list(images[machine])[-len(held) :]
@@ -242,7 +242,7 @@
 
 
 @given(st.binary(max_size=60))
-def test_a_foreign_page_of_images_says_nothing(value):
+def test_a_malformed_image_cache_record_is_ignored(value):
     assert image_cache_record.unpack([value, b'{"n":["a"],"g":[1.0],"m":{"vm-1":[3]}}']) == {}
 
 
@@ -263,14 +263,14 @@
 
     async def scenario() -> None:
         limits = settings().settings.state
-        keeper = ImageCacheSnapshots(State(), limits, Leadership(Role.LEADER, 3, 1, 77, 1e12), Fence(3, 77))  # type: ignore[arg-type]
+        snapshots = ImageCacheSnapshots(State(), limits, Leadership(Role.LEADER, 3, 1, 77, 1e12), Fence(3, 77))  # type: ignore[arg-type]
         images = {f"vm-{i}": {"img": 5.0} for i in range(200)}
-        assert not keeper.due(0.0)
+        assert not snapshots.due(0.0)
         for now in (1e9, 2e9, 3e9):
-            if keeper.due(now):
-                keeper.save(images, now)
-                assert keeper._task is None or not keeper.due(now + 1)
-                while keeper._task is not None and not keeper._task.done():
+            if snapshots.due(now):
+                snapshots.save(images, now)
+                assert snapshots._task is None or not snapshots.due(now + 1)
+                while snapshots._task is not None and not snapshots._task.done():
                     await asyncio.sleep(0)
 
     asyncio.run(scenario())
@@ -280,8 +280,8 @@
     assert all(txn.conditions == [state_messages.Condition("leader", 77)] and len(txn.changes) <= 8 for txn in txns)
 
 
-def test_moments_reach_the_next_leader_by_way_of_the_book():
-    """Each was forgotten at every change of the leader: refusals, moves, half-told stops, kept room, suspicions."""
+def test_failover_hints_reach_the_next_leader_through_the_intent_log():
+    """Each was lost at every failover: refusals, migrations, stops under way, reservations, suspect jobs."""
     made, _ = leader(True, [("vm-1", "a", 999.5), ("vm-2", "b", 999.5)])
     gang = records.JobRecord(
         submitted_at=0.0,
@@ -322,7 +322,7 @@
         "vm-1",
         "vm-2",
     ] and after.snapshot_builder.gang_reservations.by_job["wk-3"].since == pytest.approx(45.0)
-    # A later attempt was not meant, nor is a moment taken further off than it may ever be.
+    # A later attempt is not stopped, and a time further ahead than its limit is cut to the limit.
     later, _ = leader(True, [])
     apply_record(later.cluster, "wk-1", 12, msgspec.structs.replace(gang, assignments=[("vm-1", 3, "0-1")]), 50.0)
     found.reserved_for_gangs["wk-4"] = (0.0, "vm-|no range")
