--- a/winglift/controller/failover.py
+++ b/winglift/controller/failover.py
@@ -17,8 +17,7 @@
 from ..model.records import InvalidRecord
 from ..wire.users import Kind
 from .draining import RECLAIM_NOTICE, Drainer
-from .gang_reservations import GangReservation
-from .snapshot_builder import SnapshotBuilder
+from .gang_reservations import GangReservation, GangReservations
 
 log = logging.getLogger(__name__)
 
@@ -27,15 +26,14 @@
     """Writes the failover hints for a successor, and applies those of the previous leader."""
 
     def __init__(
-        self, cluster: ClusterState, inventory: Inventory, drainer: Drainer, snapshot_builder: SnapshotBuilder
+        self, cluster: ClusterState, inventory: Inventory, drainer: Drainer, gang_reservations: GangReservations
     ) -> None:
         self.cluster = cluster
         self.inventory = inventory
         self.drainer = drainer
-        self.snapshot_builder = snapshot_builder
-        self._draining: dict[
-            str, str
-        ] = {}  # machines not known here yet that the previous leader was draining, with the reason
+        self.gang_reservations = gang_reservations
+        # Machines that the previous leader was draining and that are not known here yet, with the reason.
+        self._draining: dict[str, str] = {}
 
     # -- for the successor ---------------------------------------------------------------------
 
@@ -70,7 +68,7 @@
         record.stopping_gangs = dict(list(dict(stopping).items())[:limit])
         record.reserved_for_gangs = {
             ref: (round(today + reservation.since - now, 1), pack_names(reservation.machines))
-            for ref, reservation in list(self.snapshot_builder.gang_reservations.by_job.items())[:limit]
+            for ref, reservation in list(self.gang_reservations.by_job.items())[:limit]
         }
         record.failed_on = {
             job.ref: list(job.failed_on)
@@ -108,9 +106,7 @@
                 cluster.request_stop_of_all(job, now, "an earlier term has begun to stop it", job.grace_s)
         for ref, (since, names) in record.reserved_for_gangs.items():
             try:
-                self.snapshot_builder.gang_reservations.by_job[ref] = GangReservation(
-                    unpack_names(names), now - max(0.0, today - since)
-                )
+                self.gang_reservations.by_job[ref] = GangReservation(unpack_names(names), now - max(0.0, today - since))
             except InvalidRecord as err:
                 # A hint is no promise: an invalid one must not prevent the leader from taking up its duties.
                 log.error("gang reservation invalid: job=%s error=%s", ref, err)
--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -111,9 +111,10 @@
         """Components that build the policy's snapshot and carry out its plan."""
         cluster, inventory, script = self.cluster, self.inventory, self.script
         self.snapshot_builder = SnapshotBuilder(self.settings, cluster, inventory, script, self._may_rent)
-        self.plan_executor = PlanExecutor(cluster, self.batcher, self.snapshot_builder)
+        reservations = self.snapshot_builder.gang_reservations
+        self.plan_executor = PlanExecutor(cluster, self.batcher, reservations)
         self.drainer = Drainer(cluster, inventory, script, self.settings.settings.workers)
-        self.failover_hints = FailoverHints(cluster, inventory, self.drainer, self.snapshot_builder)
+        self.failover_hints = FailoverHints(cluster, inventory, self.drainer, reservations)
 
     def _build_observers(self) -> None:
         """Components that watch workers and job records, and send the fleet summary to other nodes."""
--- a/winglift/controller/plan_executor.py
+++ b/winglift/controller/plan_executor.py
@@ -11,7 +11,7 @@
 from ..policy.snapshot import Plan
 from ..store.batcher import Batcher
 from ..wire.users import Kind
-from .snapshot_builder import SnapshotBuilder
+from .gang_reservations import GangReservations
 
 log = logging.getLogger(__name__)
 
@@ -19,16 +19,16 @@
 class PlanExecutor:
     """Carries out the plans of one term."""
 
-    def __init__(self, cluster: ClusterState, batcher: Batcher, snapshot_builder: SnapshotBuilder) -> None:
+    def __init__(self, cluster: ClusterState, batcher: Batcher, gang_reservations: GangReservations) -> None:
         self.cluster = cluster
         self.batcher = batcher
-        self.snapshot_builder = snapshot_builder
+        self.gang_reservations = gang_reservations
         self._unplaceable_jobs: set[str] = set()
 
     def apply(self, plan: Plan, now: float) -> None:
         """Carry the plan out. Evictions come first: capacity is reserved for gangs before anything is placed."""
         self._evict(plan, now)
-        self.snapshot_builder.gang_reservations.reserve(plan.reservations, now)
+        self.gang_reservations.reserve(plan.reservations, now)
         self._migrate(plan, now)
         self._start(plan, now)
         self._report_waiting(plan)
