--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -8,11 +8,14 @@
 from tornado.iostream import StreamClosedError
 from tornado.testing import bind_unused_port
 
+from standins.trial import Stage
 from standins.world import Host, Network
 from winglift import constants
 from winglift.cluster.peer_connections import Peer, PeerConnections
+from winglift.config import settings as settings_module
 from winglift.config.settings import Seed
 from winglift.net.runtime import CountingServer
+from winglift.node import Node
 from winglift.wire import peer as peer_messages
 
 
@@ -139,3 +142,24 @@
         constants.FORWARD_TIMEOUT_S <= late[1] <= constants.FORWARD_TIMEOUT_S + 2 * constants.FORWARD_SWEEP_S
         and not peer.waiting
     )
+
+
+def test_a_node_that_is_stopped_closes_the_connections_that_peers_have_made_to_it():
+    """A peer that still reached a stopped node forwarded reports to it, and it answered them with 503."""
+
+    async def scenario() -> None:
+        stage = Stage(2, lambda task: 1.0)
+        node = Node(settings_module.parse(stage.settings(0)))
+        host, port = settings_module.parse_addr(node.settings.back, "back")
+        node.peers.start(host, port)
+        reader, writer = await asyncio.open_connection(host, port)
+        writer.write(peer_messages.frame(peer_messages.FrameType.RELAY, 1, b"{}"))
+        header = peer_messages.parse_header(await reader.readexactly(peer_messages.HEADER.size))
+        assert header.request == 1 and await reader.readexactly(header.length)
+        node.stop()
+        async with asyncio.timeout(5.0):
+            assert await reader.read() == b""
+        writer.close()
+        await stage.stop()
+
+    asyncio.run(scenario())
--- a/winglift/cluster/peer_connections.py
+++ b/winglift/cluster/peer_connections.py
@@ -67,6 +67,7 @@
         self._request = 0
         self._keepers: list[asyncio.Task] = []
         self._stop_listening: Callable[[], None] | None = None
+        self._accepted: set[Stream] = set()  # connections that peers have made to this node
 
     # -- what the peers say --------------------------------------------------------------------
 
@@ -111,6 +112,7 @@
 
     async def _serve(self, stream: Stream, address: tuple) -> None:
         stream.set_nodelay(True)
+        self._accepted.add(stream)
         try:
             while True:
                 header, body = await self._read(stream)
@@ -147,6 +149,7 @@
         except peer_messages.BadFrame as err:
             log.warning("back link from %s: %s", address, err)
         finally:
+            self._accepted.discard(stream)
             stream.close()
 
     @staticmethod
@@ -180,6 +183,10 @@
             keeper.cancel()
         if self._stop_listening is not None:
             self._stop_listening()
+        # As at the end of a process: a peer that still reached this node would forward reports here, not to its
+        # successor.
+        for stream in list(self._accepted):
+            stream.close()
 
     async def _keep(self, peer: Peer) -> None:
         host, port = parse_addr(peer.seed.addr, "seeds")
