--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -252,7 +252,9 @@
 
             node.peers._ask = ask
             peer = node.peers.by_node[old]
-            monkeypatch.setattr(type(peer), "answers", property(lambda p: p.seed.node != old, lambda p, value: None))
+            monkeypatch.setattr(
+                type(peer), "acknowledges_records", property(lambda p: p.seed.node != old, lambda p, value: None)
+            )
     scene.poll("wk-1", cancel=True)
     scene.loop.run(scene.loop.now + CANCEL_S + 5.0)
     assert not scene.broken and scene.on_machines("wk-1") == []
@@ -285,7 +287,7 @@
     assert name is not None and leader is not None
     other = next(n for n in scene.nodes if n != leader)
     host, node = scene.nodes[other]
-    node.peers.by_node[leader].answers = True
+    node.peers.by_node[leader].acknowledges_records = True
     host.context.run(node.peers.announce_proofs, [("", name)])
     scene.loop.run(scene.loop.now + 0.1)
     cluster = scene.nodes[leader][1].leader_term.cluster  # type: ignore[union-attr]
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -11,7 +11,8 @@
 from standins.trial import Stage
 from standins.world import Host, Network
 from winglift import constants
-from winglift.cluster.peer_connections import Peer, PeerConnections
+from winglift.cluster.peer import Peer
+from winglift.cluster.peer_connections import PeerConnections
 from winglift.config import settings as settings_module
 from winglift.config.settings import Seed
 from winglift.net.runtime import CountingServer
@@ -140,7 +141,7 @@
     late = {n: when for n, when, _ in told}
     assert (
         constants.FORWARD_TIMEOUT_S <= late[1] <= constants.FORWARD_TIMEOUT_S + 2 * constants.FORWARD_SWEEP_S
-        and not peer.waiting
+        and not peer.pending_requests
     )
 
 
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -32,8 +32,8 @@
         fleet=peer_messages.Fleet({}, {}),
         fleet_at=0.0,
         by_node={"node-1": None},
-        hears_anyone=lambda now: hears_peers,
-        hears_all=lambda now: hears_peers,
+        any_fresh=lambda now: hears_peers,
+        all_fresh=lambda now: hears_peers,
     )
     made = LeaderTerm(settings(), None, None, FakeElection(), {"g4": TYPE}, peers, Script())  # type: ignore[arg-type]
     made.inventory.delete = lambda machine, why: deleted.append(machine.name)  # type: ignore[method-assign]
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -20,7 +20,7 @@
     def leader(self, now):
         return self.peer
 
-    def in_zone(self, zone, now):
+    def reachable_in_zone(self, zone, now):
         return self.locals.get(zone)
 
     def forward_report(self, peer, body, done):
--- a/winglift/cluster/__init__.py
+++ b/winglift/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""The link between controller nodes."""
+"""Connections between controller nodes."""
--- a/winglift/cluster/peer_connections.py
+++ b/winglift/cluster/peer_connections.py
@@ -1,4 +1,10 @@
-"""The `back` link: controllers tell one another what they know and hand reports to the leader."""
+"""Connections between controller nodes (the `back` address).
+
+Each node keeps one connection to every other node. Over it a node sends heartbeats (its `PeerState`), forwards worker
+reports to the leader, announces job records and proofs of cancellation, and, as the leader, announces its machines.
+The frames are those of `winglift.wire.peer`; PROTOCOL leaves this exchange to the service ("Controller nodes <->
+controller nodes").
+"""
 
 from __future__ import annotations
 
@@ -6,7 +12,6 @@
 import logging
 import math
 from collections.abc import Callable
-from dataclasses import dataclass, field
 
 from tornado.iostream import StreamClosedError
 
@@ -14,64 +19,55 @@
 from ..config.settings import Seed, parse_addr
 from ..net.runtime import Stream, current_runtime, monotonic_time
 from ..wire import peer as peer_messages
+from .peer import OnAnswer, Peer, PendingRequest
 
 log = logging.getLogger(__name__)
 
 
-OnAnswer = Callable[[tuple[int, bytes] | None], None]  # status and body; None: there is no answer
-
-
-@dataclass
-class Peer:
-    seed: Seed
-    last_state: peer_messages.PeerState | None = None
-    last_state_at: float = 0.0
-    reachable_since: float = 0.0  # heard without a gap since then
-    stream: Stream | None = None
-    answers: bool = False  # it has answered a word about a record: one of an earlier version never does
-    # Reports handed over: until when an answer is waited for, and who is told; in the order of handing over.
-    waiting: dict[int, tuple[float, OnAnswer]] = field(default_factory=dict)
-
-    def fresh(self, now: float) -> bool:
-        return self.last_state is not None and now - self.last_state_at < constants.PEER_FRESH_S
-
-
 class PeerConnections:
+    """This node's connections to its peers, the connections that they make to it, and what has arrived over both."""
+
     def __init__(
         self,
         node: str,
         seeds: list[Seed],
-        mine: Callable[[], peer_messages.PeerState],
-        on_relay: Callable[[bytes], tuple[int, bytes]],
+        own_state: Callable[[], peer_messages.PeerState],
+        on_forwarded_report: Callable[[bytes], tuple[int, bytes]],
         on_job: Callable[[peer_messages.JobNote], int],
         on_state: Callable[[peer_messages.PeerState], None],
-        on_gone: Callable[[str], None],
-        on_link: Callable[[str], None],
+        on_peer_ended: Callable[[str], None],
+        on_connected: Callable[[str], None],
         on_proofs: Callable[[list[tuple[str, str]]], None],
     ) -> None:
+        """Set up without opening a connection; `start` does that.
+
+        `own_state` gives the state to send in heartbeats. `on_forwarded_report` and `on_job` answer a request of a
+        peer. `on_peer_ended` is called when a peer's process seems to have ended, and `on_connected` when this node
+        has connected to a peer, which may be another process than before.
+        """
         self.node = node
-        self.by_node = {s.node: Peer(s) for s in seeds if s.node != node}
-        self._mine = mine
-        self._on_relay = on_relay
+        self.by_node = {seed.node: Peer(seed) for seed in seeds if seed.node != node}
+        self._own_state = own_state
+        self._on_forwarded_report = on_forwarded_report
         self._on_job = on_job
         self._on_state = on_state
-        self._on_gone = on_gone
-        self._on_link = on_link  # a connection to this node has been made: it may be another process
+        self._on_peer_ended = on_peer_ended
+        self._on_connected = on_connected
         self._on_proofs = on_proofs
-        self._fleet: peer_messages.Fleet | bytes = peer_messages.Fleet(
-            {}, {}
-        )  # what a leader last told about its machines,
-        self.fleet_at = 0.0  # and when
-        self._left_out = 0  # machines whose images did not fit into the last word of them
-        self._sweeping = False
-        self._request = 0
-        self._keepers: list[asyncio.Task] = []
+        # What a leader last announced about its machines, and when.
+        self._fleet: peer_messages.Fleet | bytes = peer_messages.Fleet({}, {})
+        self.fleet_at = 0.0
+        self._omitted_images = 0  # machines whose images did not fit into the last announcement
+        self._sweep_scheduled = False
+        self._last_request = 0
+        self._connection_tasks: list[asyncio.Task] = []
         self._stop_listening: Callable[[], None] | None = None
         self._accepted: set[Stream] = set()  # connections that peers have made to this node
 
-    # -- what the peers say --------------------------------------------------------------------
+    # -- state of the peers --------------------------------------------------------------------
 
     def leader(self, now: float) -> Peer | None:
+        """The peer that leads by its own fresh heartbeat, with the highest term if there are several."""
         found: Peer | None = None
         for peer in self.by_node.values():
             if (
@@ -84,31 +80,40 @@
         return found
 
     def connected(self, but: str = "") -> bool:
-        """Is there an open connection to any other node?"""
-        return any(p.stream is not None and not p.stream.closed() for n, p in self.by_node.items() if n != but)
+        """Whether there is an open connection to any node other than `but`."""
+        return any(
+            peer.stream is not None and not peer.stream.closed() for name, peer in self.by_node.items() if name != but
+        )
 
-    def hears_anyone(self, now: float) -> bool:
-        return any(p.fresh(now) for p in self.by_node.values())
+    def any_fresh(self, now: float) -> bool:
+        """Whether any peer's heartbeat is fresh."""
+        return any(peer.fresh(now) for peer in self.by_node.values())
 
-    def hears_all(self, now: float) -> bool:
-        return all(p.fresh(now) for p in self.by_node.values())
+    def all_fresh(self, now: float) -> bool:
+        """Whether every peer's heartbeat is fresh."""
+        return all(peer.fresh(now) for peer in self.by_node.values())
 
-    def in_zone(self, zone: str, now: float) -> str | None:
-        """A node there that has been heard of steadily and just now."""
+    def reachable_in_zone(self, zone: str, now: float) -> str | None:
+        """The first node of a zone, by name, whose heartbeats have arrived without a gap for PEER_REACHABLE_S."""
         found = [
-            p.seed.node
-            for p in self.by_node.values()
-            if p.seed.zone == zone and p.fresh(now) and now - p.reachable_since > constants.PEER_REACHABLE_S
+            peer.seed.node
+            for peer in self.by_node.values()
+            if peer.seed.zone == zone and peer.fresh(now) and now - peer.reachable_since > constants.PEER_REACHABLE_S
         ]
         return min(found, default=None)
 
     def term(self) -> int:
-        return max((p.last_state.term for p in self.by_node.values() if p.last_state), default=0)
+        """The highest term in any peer's last heartbeat; 0 if there is none."""
+        return max((peer.last_state.term for peer in self.by_node.values() if peer.last_state), default=0)
 
     def state_works_elsewhere(self, now: float) -> bool:
-        return any(p.fresh(now) and p.last_state is not None and p.last_state.state_ok for p in self.by_node.values())
+        """Whether the state service serves any peer whose heartbeat is fresh."""
+        return any(
+            peer.fresh(now) and peer.last_state is not None and peer.last_state.state_ok
+            for peer in self.by_node.values()
+        )
 
-    # -- serving -------------------------------------------------------------------------------
+    # -- connections that peers have made ------------------------------------------------------
 
     async def _serve(self, stream: Stream, address: tuple) -> None:
         stream.set_nodelay(True)
@@ -116,53 +121,58 @@
         try:
             while True:
                 header, body = await self._read(stream)
-                if header.type is peer_messages.FrameType.STATE:
-                    self._heard(peer_messages.parse_state(body))
-                elif header.type is peer_messages.FrameType.JOB:
-                    status = self._on_job(peer_messages.parse_job(body))
-                    if header.request:
-                        stream.write(
-                            peer_messages.frame(
-                                peer_messages.FrameType.RELAYED, header.request, peer_messages.pack_answer(status, b"")
-                            )
-                        )
-                elif header.type is peer_messages.FrameType.PROOFS:
-                    self._on_proofs(peer_messages.parse_proofs(body))
-                elif header.type is peer_messages.FrameType.FLEET:
-                    # Read only by who leads next: at 970 machines reading each word took a tenth of a follower's work.
-                    self._fleet, self.fleet_at = body, monotonic_time()
-                elif header.type is peer_messages.FrameType.RELAY:
-                    try:
-                        status, answer = self._on_relay(body)
-                    except Exception:
-                        # A fault over one machine's report must not end the link that all the others come by.
-                        log.exception("fault in a report handed over")
-                        status, answer = 503, b"{}"
-                    # Not waited for: the next report is read meanwhile, and a closed stream ends the loop.
-                    stream.write(
-                        peer_messages.frame(
-                            peer_messages.FrameType.RELAYED, header.request, peer_messages.pack_answer(status, answer)
-                        )
-                    )
+                self._dispatch(stream, header, body)
         except StreamClosedError:
             pass
         except peer_messages.BadFrame as err:
-            log.warning("back link from %s: %s", address, err)
+            log.warning("peer connection: bad frame: from=%s error=%s", address, err)
         finally:
             self._accepted.discard(stream)
             stream.close()
 
+    def _dispatch(self, stream: Stream, header: peer_messages.Header, body: bytes) -> None:
+        """Handle one frame. Frames of an unknown type are ignored: a later version may send them."""
+        if header.type is peer_messages.FrameType.STATE:
+            self._on_heartbeat(peer_messages.parse_state(body))
+        elif header.type is peer_messages.FrameType.JOB:
+            status = self._on_job(peer_messages.parse_job(body))
+            if header.request:
+                self._answer(stream, header, status, b"")
+        elif header.type is peer_messages.FrameType.PROOFS:
+            self._on_proofs(peer_messages.parse_proofs(body))
+        elif header.type is peer_messages.FrameType.FLEET:
+            # Parsed only by the next leader: at 970 machines parsing each announcement took a tenth of a follower's
+            # CPU time.
+            self._fleet, self.fleet_at = body, monotonic_time()
+        elif header.type is peer_messages.FrameType.RELAY:
+            try:
+                status, answer = self._on_forwarded_report(body)
+            except Exception:
+                # A fault over one machine's report must not end the connection that all the others come by.
+                log.exception("forwarded report: fault in handling it")
+                status, answer = 503, b"{}"
+            self._answer(stream, header, status, answer)
+
+    @staticmethod
+    def _answer(stream: Stream, header: peer_messages.Header, status: int, answer: bytes) -> None:
+        # Not awaited: the next frame is read meanwhile, and a closed stream ends the loop.
+        stream.write(
+            peer_messages.frame(
+                peer_messages.FrameType.RELAYED, header.request, peer_messages.pack_answer(status, answer)
+            )
+        )
+
     @staticmethod
     async def _read(stream: Stream) -> tuple[peer_messages.Header, bytes]:
         header = peer_messages.parse_header(await stream.read_bytes(peer_messages.HEADER.size))
         return header, await stream.read_bytes(header.length) if header.length else b""
 
-    def _heard(self, state: peer_messages.PeerState) -> None:
+    def _on_heartbeat(self, state: peer_messages.PeerState) -> None:
         peer = self.by_node.get(state.node)
         if peer is None:
-            log.warning("back link: unknown node %r", state.node)
+            log.warning("peer connection: heartbeat of an unknown node: node=%r", state.node)
             return
-        # Frames held back by a cut may arrive late: an older term says nothing about the present.
+        # Frames held back by a partition may arrive late: an older term says nothing about the present.
         if peer.last_state is not None and state.term < peer.last_state.term:
             return
         now = monotonic_time()
@@ -171,16 +181,19 @@
         peer.last_state, peer.last_state_at = state, now
         self._on_state(state)
 
-    # -- asking --------------------------------------------------------------------------------
+    # -- connections to peers ------------------------------------------------------------------
 
     def start(self, host: str, port: int) -> None:
         """Listen there, and keep a connection to each peer."""
         self._stop_listening = current_runtime().listen(host, port, self._serve)
-        self._keepers = [asyncio.ensure_future(self._keep(peer)) for peer in self.by_node.values()]
+        self._connection_tasks = [
+            asyncio.ensure_future(self._maintain_connection(peer)) for peer in self.by_node.values()
+        ]
 
     def shut(self) -> None:
-        for keeper in self._keepers:
-            keeper.cancel()
+        """Stop listening and end all connections, both those made by this node and those made to it."""
+        for task in self._connection_tasks:
+            task.cancel()
         if self._stop_listening is not None:
             self._stop_listening()
         # As at the end of a process: a peer that still reached this node would forward reports here, not to its
@@ -188,7 +201,8 @@
         for stream in list(self._accepted):
             stream.close()
 
-    async def _keep(self, peer: Peer) -> None:
+    async def _maintain_connection(self, peer: Peer) -> None:
+        """Connect to a peer, again whenever the connection ends, and send heartbeats over it."""
         host, port = parse_addr(peer.seed.addr, "seeds")
         closed = False  # the last connection was closed by the other side
         while True:
@@ -197,24 +211,7 @@
                 async with asyncio.timeout(constants.PEER_CONNECT_S):
                     stream = await current_runtime().connect(host, port)
                 closed = True
-                stream.set_nodelay(True)
-                peer.stream, peer.answers = stream, False
-                self._on_link(peer.seed.node)
-                reader = asyncio.ensure_future(self._read_answers(peer, stream))
-                try:
-                    while not stream.closed():
-                        async with asyncio.timeout(constants.PEER_WRITE_S):
-                            # Shielded: tornado logs an error for each write that is cancelled.
-                            await asyncio.shield(
-                                stream.write(
-                                    peer_messages.frame(
-                                        peer_messages.FrameType.STATE, 0, peer_messages.pack_state(self._mine())
-                                    )
-                                )
-                            )
-                        await asyncio.sleep(constants.PEER_STATE_INTERVAL_S)
-                finally:
-                    reader.cancel()
+                await self._use_connection(peer, stream)
             except TimeoutError:
                 closed = False
             except (StreamClosedError, OSError) as err:
@@ -222,128 +219,158 @@
                 if closed and refused:
                     # Closed and then refused: most likely its process has ended.
                     closed = False
-                    self._on_gone(peer.seed.node)
+                    self._on_peer_ended(peer.seed.node)
             finally:
                 peer.stream = None
                 if stream is not None:
                     stream.close()
-                self._give_up(peer, math.inf)
+                self._expire_requests(peer, math.inf)
             await asyncio.sleep(constants.PEER_RECONNECT_S if closed else constants.PEER_RETRY_S)
 
+    async def _use_connection(self, peer: Peer, stream: Stream) -> None:
+        """Send a heartbeat every PEER_STATE_INTERVAL_S and read answers until the stream is closed.
+
+        Raises TimeoutError if a heartbeat can't be written within PEER_WRITE_S, and StreamClosedError.
+        """
+        stream.set_nodelay(True)
+        peer.stream, peer.acknowledges_records = stream, False
+        self._on_connected(peer.seed.node)
+        reader = asyncio.ensure_future(self._read_answers(peer, stream))
+        try:
+            while not stream.closed():
+                async with asyncio.timeout(constants.PEER_WRITE_S):
+                    heartbeat = peer_messages.pack_state(self._own_state())
+                    # Shielded: tornado logs an error for each write that is cancelled.
+                    await asyncio.shield(stream.write(peer_messages.frame(peer_messages.FrameType.STATE, 0, heartbeat)))
+                await asyncio.sleep(constants.PEER_STATE_INTERVAL_S)
+        finally:
+            reader.cancel()
+
     async def _read_answers(self, peer: Peer, stream: Stream) -> None:
         try:
             while True:
                 header, body = await self._read(stream)
-                waits = peer.waiting.pop(header.request, None)
-                if waits is not None:
-                    waits[1](
+                request = peer.pending_requests.pop(header.request, None)
+                if request is not None:
+                    request.on_answer(
                         peer_messages.parse_answer(body) if header.type is peer_messages.FrameType.RELAYED else None
                     )
         except StreamClosedError:
             pass
         except peer_messages.BadFrame as err:
-            log.warning("back link to %s: %s", peer.seed.node, err)
+            log.warning("peer connection: bad frame: to=%s error=%s", peer.seed.node, err)
         finally:
             stream.close()
 
-    def forward_report(self, peer: Peer, report: bytes, done: OnAnswer) -> None:
-        """Hand a worker's report to the leader; `done` is told the answer, or that there is none, exactly once.
+    # -- requests to peers ---------------------------------------------------------------------
+
+    def forward_report(self, peer: Peer, report: bytes, on_answer: OnAnswer) -> None:
+        """Forward a worker's report to the leader; `on_answer` is called exactly once, with None without an answer.
 
-        Without a task and a timer of its own: with 400 reports a second they were a sixth of a follower's work.
+        A request has no task and no timer of its own: with 400 reports a second those were a sixth of a follower's
+        CPU time.
         """
-        self._ask(peer, peer_messages.FrameType.RELAY, report, done)
+        self._ask(peer, peer_messages.FrameType.RELAY, report, on_answer)
 
-    def announce_record(self, peer: Peer, note: peer_messages.JobNote, done: OnAnswer) -> None:
-        """Tell a node of a record and hear whether it has it: 200, it sees to it as the leader; 202, it knows."""
+    def announce_record(self, peer: Peer, note: peer_messages.JobNote, on_answer: OnAnswer) -> None:
+        """Announce a record to a node; the status is 200 if it acts on it as the leader, 202 if it now knows it."""
 
-        def heard(answer: tuple[int, bytes] | None) -> None:
-            peer.answers = peer.answers or answer is not None
-            done(answer)
+        def on_acknowledged(answer: tuple[int, bytes] | None) -> None:
+            peer.acknowledges_records = peer.acknowledges_records or answer is not None
+            on_answer(answer)
 
-        self._ask(peer, peer_messages.FrameType.JOB, peer_messages.pack_job(note), heard)
+        self._ask(peer, peer_messages.FrameType.JOB, peer_messages.pack_job(note), on_acknowledged)
 
     def announce_proofs(self, proofs: list[tuple[str, str]]) -> None:
-        """To those that know such a frame: it would end the link to an earlier version, each time anew."""
+        """Announce proofs (job and machine; no job: the machine is deleted) to the peers that know such frames.
+
+        Such a frame would end the connection to an earlier version, each time anew.
+        """
         for peer in self.by_node.values():
-            for at in range(0, len(proofs) if peer.answers else 0, constants.CANCELLATION_PROOFS_MAX):
-                self._tell(
+            for first in range(0, len(proofs) if peer.acknowledges_records else 0, constants.CANCELLATION_PROOFS_MAX):
+                self._send(
                     peer,
                     peer_messages.FrameType.PROOFS,
-                    peer_messages.pack_proofs(proofs[at : at + constants.CANCELLATION_PROOFS_MAX]),
+                    peer_messages.pack_proofs(proofs[first : first + constants.CANCELLATION_PROOFS_MAX]),
                 )
 
-    def _ask(self, peer: Peer, kind: peer_messages.FrameType, body: bytes, done: OnAnswer) -> None:
+    def _ask(self, peer: Peer, kind: peer_messages.FrameType, body: bytes, on_answer: OnAnswer) -> None:
         if peer.stream is None or peer.stream.closed():
-            done(None)
+            on_answer(None)
             return
-        self._request = self._request % (2**32 - 1) + 1  # never 0, which asks for no answer
-        number = self._request
-        peer.waiting[number] = monotonic_time() + constants.FORWARD_TIMEOUT_S, done
+        self._last_request = self._last_request % (2**32 - 1) + 1  # never 0, which asks for no answer
+        number = self._last_request
+        peer.pending_requests[number] = PendingRequest(monotonic_time() + constants.FORWARD_TIMEOUT_S, on_answer)
         try:
-            # Not waited for: what can't be written in time gets no answer in time either.
+            # Not awaited: what can't be written in time gets no answer in time either.
             peer.stream.write(peer_messages.frame(kind, number, body))
         except (StreamClosedError, peer_messages.BadFrame):
-            if peer.waiting.pop(number, None) is not None:
-                done(None)
+            if peer.pending_requests.pop(number, None) is not None:
+                on_answer(None)
             return
-        self._sweep_later()
+        self._schedule_sweep()
 
-    def _sweep_later(self) -> None:
-        if not self._sweeping:
-            self._sweeping = True
+    def _schedule_sweep(self) -> None:
+        if not self._sweep_scheduled:
+            self._sweep_scheduled = True
             asyncio.get_running_loop().call_later(constants.FORWARD_SWEEP_S, self._sweep)
 
     def _sweep(self) -> None:
-        """Reports that were handed over too long ago get no answer."""
-        self._sweeping = False
+        """Give up the requests whose deadline has passed."""
+        self._sweep_scheduled = False
         now = monotonic_time()
         for peer in self.by_node.values():
-            self._give_up(peer, now)
-        if any(peer.waiting for peer in self.by_node.values()):
-            self._sweep_later()
+            self._expire_requests(peer, now)
+        if any(peer.pending_requests for peer in self.by_node.values()):
+            self._schedule_sweep()
 
     @staticmethod
-    def _give_up(peer: Peer, now: float) -> None:
-        """Wait no longer for the answers that were due by now."""
-        for number, (until, done) in list(peer.waiting.items()):
-            if until > now:
+    def _expire_requests(peer: Peer, now: float) -> None:
+        """Report that there is no answer to each request whose deadline is not after `now`."""
+        for number, request in list(peer.pending_requests.items()):
+            if request.deadline > now:
                 break
-            del peer.waiting[number]
-            done(None)
+            del peer.pending_requests[number]
+            request.on_answer(None)
 
     def notify_leader(self, note: peer_messages.JobNote) -> None:
-        """A hint that spares the leader the wait for its watch. Loss does no harm."""
+        """Announce a record to the leader, which saves it the wait for its watch. Loss does no harm."""
         peer = self.leader(monotonic_time())
         if peer is not None:
-            self._tell(peer, peer_messages.FrameType.JOB, peer_messages.pack_job(note))
+            self._send(peer, peer_messages.FrameType.JOB, peer_messages.pack_job(note))
 
     @property
     def fleet(self) -> peer_messages.Fleet:
-        """What a leader last told about its machines."""
+        """What a leader last announced about its machines; empty if that can't be parsed."""
         if isinstance(self._fleet, bytes):
             try:
                 self._fleet = peer_messages.parse_fleet(self._fleet)
             except peer_messages.BadFrame as err:
-                log.warning("back link: %s", err)
+                log.warning("peer connection: bad fleet announcement: error=%s", err)
                 self._fleet = peer_messages.Fleet({}, {})
         return self._fleet
 
     def announce_fleet(self, fleet: peer_messages.Fleet) -> None:
-        """Workers don't report their images, and a silent one nothing: what the leader knows would be lost with it."""
+        """Announce the leader's machines to all peers.
+
+        Workers don't report their images, and a silent one reports nothing: what the leader knows of both would be lost
+        with it.
+        """
         self._fleet, self.fleet_at = fleet, monotonic_time()
-        body, left_out = peer_messages.pack_fleet(fleet)
-        if left_out and not self._left_out:
+        body, omitted = peer_messages.pack_fleet(fleet)
+        if omitted and not self._omitted_images:
             log.info(
-                "images of %d of %d machines are not told to the other nodes: a frame holds no more",
-                left_out,
+                "fleet announcement: images left out, the frame is full: omitted=%d machines=%d",
+                omitted,
                 len(fleet.images),
             )
-        self._left_out = left_out
+        self._omitted_images = omitted
         for peer in self.by_node.values():
-            self._tell(peer, peer_messages.FrameType.FLEET, body)
+            self._send(peer, peer_messages.FrameType.FLEET, body)
 
     @staticmethod
-    def _tell(peer: Peer, kind: peer_messages.FrameType, body: bytes) -> None:
+    def _send(peer: Peer, kind: peer_messages.FrameType, body: bytes) -> None:
+        """Send a frame that asks for no answer; it is lost if there is no connection."""
         if peer.stream is None or peer.stream.closed():
             return
         try:
--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -360,8 +360,8 @@
                         self.task_stopper.add(task)
 
     def _check_machines(self, now: float) -> None:
-        hears_anyone = not self.peers.by_node or self.peers.hears_anyone(now)
-        found = self.failure_detector.evaluate(now, wall_time(), hears_anyone, self.peers.hears_all(now))
+        hears_anyone = not self.peers.by_node or self.peers.any_fresh(now)
+        found = self.failure_detector.evaluate(now, wall_time(), hears_anyone, self.peers.all_fresh(now))
         if found.isolated:
             self.duties.relinquish()
             asyncio.ensure_future(self.election.resign("hears neither workers nor other nodes"))
--- a/winglift/node.py
+++ b/winglift/node.py
@@ -183,7 +183,7 @@
         return None
 
     def hears_others(self) -> bool:
-        return self.state.health() is not Health.DOWN or self.peers.hears_anyone(monotonic_time())
+        return self.state.health() is not Health.DOWN or self.peers.any_fresh(monotonic_time())
 
     def leader_elsewhere(self) -> str | None:
         """The node that leads by the state service's word, if this one can't hand it any report; None otherwise."""
--- a/winglift/workers/cancellation_enforcement.py
+++ b/winglift/workers/cancellation_enforcement.py
@@ -15,7 +15,8 @@
 
 from .. import constants
 from ..cloud.client import CloudClient, CloudError
-from ..cluster.peer_connections import Peer, PeerConnections
+from ..cluster.peer import Peer
+from ..cluster.peer_connections import PeerConnections
 from ..config.settings import Settings
 from ..model import records
 from ..model.cancellations import Cancellation, CancellationEvent, CancellationRegistry, CancellationState
--- a/winglift/workers/reports.py
+++ b/winglift/workers/reports.py
@@ -19,7 +19,8 @@
 import msgspec
 
 from .. import constants
-from ..cluster.peer_connections import Peer, PeerConnections
+from ..cluster.peer import Peer
+from ..cluster.peer_connections import PeerConnections
 from ..config.settings import Settings
 from ..net.runtime import monotonic_time
 from ..wire import workers as worker_messages
@@ -177,7 +178,7 @@
             return None
         if leader is not None and leader.seed.zone == zone:
             return leader.seed.node
-        local = peers.in_zone(zone, now)
+        local = peers.reachable_in_zone(zone, now)
         if local is not None:
             return local
         return leader.seed.node if leader is not None and self.node.leader_term is None else None
