--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -168,11 +168,11 @@
     async def scenario() -> None:
         prober = probes.Prober(cluster, Leadership(role=Role.LEADER, term=1, valid_until=1e12))
         prober.probe([machine], {})
-        assert not prober._asking
+        assert not prober._probes
         prober.probe([machine], {"b": other})
         prober.probe([machine], {"b": other})
-        assert len(prober._asking) == 1
-        while prober._asking:
+        assert len(prober._probes) == 1
+        while prober._probes:
             await asyncio.sleep(0)
 
     asyncio.run(scenario())
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -81,9 +81,9 @@
         assert list(held.items()) == whole[len(whole) - len(held) :]
 
 
-def test_of_a_whole_fleet_that_is_silent_some_are_asked_at_a_time_and_all_in_turn(monkeypatch):
+def test_of_a_whole_fleet_that_is_silent_some_are_probed_at_a_time_and_all_in_turn(monkeypatch):
     async def scenario() -> None:
-        asked: set[str] = set()
+        probed: set[str] = set()
         prober = Prober(None, Leadership())  # type: ignore[arg-type]
         machines = [
             Machine(f"vm-{n}", None, "g8", "a", False, MachineState.UP, 0.0, 0.0, addr="10.0.0.1:1", last_heard=0.0)
@@ -91,19 +91,20 @@
         ]
         control = machines.pop()
 
-        async def question(machine):
-            asked.add(machine.name)
+        async def request_report(machine):
+            probed.add(machine.name)
             await asyncio.sleep(0)
             return machine is control
 
-        monkeypatch.setattr(prober, "_question", question)
+        monkeypatch.setattr(prober, "_request_report", request_report)
         monkeypatch.setattr("winglift.workers.probes.monotonic_time", lambda: 10.0)
-        prober.cluster = type("Picture", (), {"changed": False})()  # type: ignore[assignment]
+        prober.cluster = type("FakeClusterState", (), {"changed": False})()  # type: ignore[assignment]
         for _ in range(FLEET // constants.PROBES_AT_ONCE + 2):
-            prober.probe([m for m in machines if m.probe_failed_at < 10.0], {"a": control})
-            assert len(prober._asking) <= constants.PROBES_AT_ONCE
-            while prober._asking:
+            prober.probe([machine for machine in machines if machine.probe_failed_at < 10.0], {"a": control})
+            assert len(prober._probes) <= constants.PROBES_AT_ONCE
+            while prober._probes:
                 await asyncio.sleep(0)
-        assert asked == {m.name for m in [*machines, control]} and all(m.probe_failed_at == 10.0 for m in machines)
+        assert probed == {machine.name for machine in [*machines, control]}
+        assert all(machine.probe_failed_at == 10.0 for machine in machines)
 
     asyncio.run(scenario())
--- a/winglift/workers/__init__.py
+++ b/winglift/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Dealings with workers: reports and commands."""
+"""Communication with workers: answering their reports, direct commands, probes, cancellation enforcement."""
--- a/winglift/workers/commands.py
+++ b/winglift/workers/commands.py
@@ -1,4 +1,7 @@
-"""Direct commands to workers: stops only. Starts never go this way, since commands may be executed late."""
+"""Direct commands to workers (PROTOCOL, "POST /commands"): stops only.
+
+Starts are never sent this way, since direct commands may be executed late.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +29,11 @@
 async def command(
     addr: str, term: int, session: int, commands: list[worker_messages.Command]
 ) -> worker_messages.Report | None:
-    """Send stops straight to a worker: its report after them, whether it took them or not; None: no sound answer."""
+    """Send stops to a worker's address and return the report that it answers with.
+
+    The worker answers with a report whether it executed the commands (200) or not (409). None: there was no valid
+    answer within COMMAND_TIMEOUT_S.
+    """
     host, _, port = addr.partition(":")
     body = msgspec.json.encode(worker_messages.DirectCommands(term, session, commands))
     try:
@@ -37,46 +44,59 @@
         )
         return worker_messages.parse_report(reply.body) if reply.status in (200, 409) else None
     except (Unanswered, Invalid) as err:
-        log.debug("direct stop at %s: %s", addr, err)
+        log.debug("direct command: no valid answer: addr=%s error=%s", addr, err)
         return None
 
 
 class TaskStopper:
-    """Tells workers to stop tasks at once; what gets lost is repeated by the next report's response."""
+    """Sends stops to workers at once; what gets lost is repeated by the response to the next report."""
 
     def __init__(
-        self, cluster: ClusterState, leadership: Leadership, ends_only: Callable[[], bool] = lambda: False
+        self,
+        cluster: ClusterState,
+        leadership: Leadership,
+        may_only_enforce_cancellations: Callable[[], bool] = lambda: False,
     ) -> None:
+        """Take over the cluster state's `on_stop`.
+
+        `may_only_enforce_cancellations`: whether a leader in doubt may still stop the tasks of cancelled jobs.
+        """
         self.cluster = cluster
         self.leadership = leadership
-        self._may_only_enforce_cancellations = ends_only  # in doubt, may it still stop what is cancelled?
+        self._may_only_enforce_cancellations = may_only_enforce_cancellations
         self._queue: dict[str, list[Task]] = {}
         self._tasks: set[asyncio.Task] = set()
         cluster.on_stop = self.add
 
     def add(self, task: Task) -> None:
+        """Queue a task to be stopped; all that is queued for a machine within a cycle goes in one command."""
         queue = self._queue.setdefault(task.machine.name, [])
         queue.append(task)
         if len(queue) == 1:
-            job = asyncio.ensure_future(self._send(task.machine))
-            self._tasks.add(job)
-            job.add_done_callback(self._tasks.discard)
+            sender = asyncio.ensure_future(self._send(task.machine))
+            self._tasks.add(sender)
+            sender.add_done_callback(self._tasks.discard)
 
     def stop(self) -> None:
+        """Cancel all commands under way."""
         for task in self._tasks:
             task.cancel()
 
     async def _send(self, machine: Machine) -> None:
-        await asyncio.sleep(0)  # gather what is stopped in the same cycle
+        await asyncio.sleep(0)  # collect what is stopped in the same cycle
         tasks = self._queue.pop(machine.name, [])
         if not machine.addr or not machine.session:
             return
         if not self.leadership.entitled(monotonic_time()):
             if not self._may_only_enforce_cancellations():
                 return
-            tasks = [t for t in tasks if t.job.state is JobState.CANCELLED]
+            tasks = [task for task in tasks if task.job.state is JobState.CANCELLED]
         states = PRESENT | {TaskState.SENT, TaskState.UNKNOWN}
-        commands = [worker_messages.halt(t.name, t.attempt, t.stop_grace_s or 0) for t in tasks if t.state in states]
+        commands = [
+            worker_messages.halt(task.name, task.attempt, task.stop_grace_s or 0)
+            for task in tasks
+            if task.state in states
+        ]
         if not commands:
             return
         report = await command(machine.addr, self.cluster.term, machine.session, commands)
--- a/winglift/workers/probes.py
+++ b/winglift/workers/probes.py
@@ -1,7 +1,7 @@
-"""Questions to machines that have fallen silent: is the machine gone, or is its worker on the way to another node?
+"""Probes of silent machines (PROTOCOL, "GET /show").
 
-The answer is a report, newer than what is known. No answer proves nothing (docs/design.md); it only says how likely the
-machine is to come back.
+A probe asks whether the machine is gone or its worker is changing to another node. The answer is a report, newer than
+what is known. A missing answer proves nothing (docs/design.md); it only says how likely the machine is to come back.
 """
 
 from __future__ import annotations
@@ -25,49 +25,60 @@
 
 
 class Prober:
+    """Probes machines for one leader term, at most PROBES_AT_ONCE at a time, and reconciles their reports."""
+
     def __init__(self, cluster: ClusterState, leadership: Leadership) -> None:
+        """Probe on behalf of `leadership`; reports are reconciled only while it is entitled to act."""
         self.cluster = cluster
         self.leadership = leadership
-        self._asking: dict[str, asyncio.Task] = {}
+        self._probes: dict[str, asyncio.Task] = {}
 
     def probe(self, machines: Iterable[Machine], controls: Mapping[str, Machine]) -> None:
-        """Ask these machines, not too many at once: those left out are asked by a later call.
+        """Probe these machines, not too many at once: those left out are probed by a later call.
 
-        `controls`: per zone a machine that was heard just now, which is asked as well.
+        `controls`: per zone a machine that has just reported, which is probed as well.
         """
         for machine in machines:
-            if len(self._asking) >= constants.PROBES_AT_ONCE:
+            if len(self._probes) >= constants.PROBES_AT_ONCE:
                 return
-            # Where no machine hears there is none to compare with; their answers alone count then.
+            # Where every machine is unresponsive there is no control to compare with; their answers alone count then.
             control = machine if machine.state is MachineState.UNRESPONSIVE else controls.get(machine.zone)
-            if machine.name not in self._asking and machine.addr and control is not None:
+            if machine.name not in self._probes and machine.addr and control is not None:
                 machine.probed_at = monotonic_time()
-                self._asking[machine.name] = asyncio.ensure_future(self._ask(machine, control))
+                self._probes[machine.name] = asyncio.ensure_future(self._probe(machine, control))
 
     def stop(self) -> None:
-        for task in self._asking.values():
+        """Cancel all probes under way."""
+        for task in self._probes.values():
             task.cancel()
 
-    async def _ask(self, machine: Machine, control: Machine) -> None:
-        """No answer counts only if the control answers: a leader cut off from all workers had given sound ones up."""
+    async def _probe(self, machine: Machine, control: Machine) -> None:
+        """Probe a machine together with its control.
+
+        A missing answer counts only if the control answers: a leader partitioned from all workers had given sound
+        machines up.
+        """
         sent = monotonic_time()
         try:
             if control is machine:
-                await self._question(machine)
+                await self._request_report(machine)
                 return
-            answered, reached = await asyncio.gather(self._question(machine), self._question(control))
-            # If this node stood still, the answer may have been there.
+            answered, control_answered = await asyncio.gather(
+                self._request_report(machine), self._request_report(control)
+            )
+            # If this node was paused, the answer may have been there.
             if (
                 not answered
-                and reached
+                and control_answered
                 and monotonic_time() - sent < constants.PROBE_TIMEOUT_S + constants.NODE_PAUSE_S
             ):
                 machine.probe_failed_at = sent
                 self.cluster.changed = True
         finally:
-            self._asking.pop(machine.name, None)
+            self._probes.pop(machine.name, None)
 
-    async def _question(self, machine: Machine) -> bool:
+    async def _request_report(self, machine: Machine) -> bool:
+        """Whether the machine answers within PROBE_TIMEOUT_S; its report is reconciled."""
         host, _, port = machine.addr.partition(":")
         try:
             reply = (
@@ -82,5 +93,5 @@
                     )
                 return True
         except (Unanswered, Invalid) as err:
-            log.debug("%s does not answer: %s", machine.name, err)
+            log.debug("probe: no valid answer: machine=%s error=%s", machine.name, err)
         return False
--- a/winglift/workers/reports.py
+++ b/winglift/workers/reports.py
@@ -108,7 +108,7 @@
         led = self.node.leader_elsewhere()
         self.partition_detector.update(led is None and self.node.hears_others(), now)
         knows_more = report.token > self.node.known_term()
-        if self.partition_detector.sends_on(
+        if self.partition_detector.redirects(
             report.machine, (report.session, report.seq), not report.tasks, knows_more, now
         ):
             return 421, msgspec.json.encode(worker_messages.Redirect(led or self._another(report.machine)))
