--- a/winglift/node.py
+++ b/winglift/node.py
@@ -99,7 +99,7 @@
         return max(self.election.known_term, self.election.leadership.term, self.peers.term())
 
     def _on_relay(self, body: bytes) -> tuple[int, bytes]:
-        return self.reports.relayed(body)
+        return self.reports.answer_forwarded(body)
 
     def _on_job(self, note: peer_messages.JobNote) -> int:
         """A record that another node knows: 200 if this one sees to it as the leader, 202 if it knows it now."""
@@ -170,7 +170,7 @@
             return "the state service refuses this node"
         # A node that hears neither the state service nor any other node may be as good as any, or cut off alone: its
         # workers tell, by finding others or by being silent.
-        quiet_s = now - max(self._began, self.reports.heard_at)
+        quiet_s = now - max(self._began, self.reports.last_report_at)
         if (
             self.settings.seeds
             and not self.hears_others()
--- a/winglift/workers/reports.py
+++ b/winglift/workers/reports.py
@@ -1,10 +1,11 @@
-"""Who answers a worker's report, and how.
-
-A worker belongs to a node of its own zone where there is one, or else to the leader. Any node but the leader hands
-reports over the back link and passes the leader's answer on. When the link fails, the answer holds no commands: it
-renews the worker's lease and keeps its tasks alive through outages and cuts, and since the node is in the worker's
-own zone, a cut between zones is not even noticed there. That is safe because the end of a lease is nowhere taken as
-a proof that tasks are gone (docs/design.md): only a newer report or an answered deletion is.
+"""Answers workers' reports (PROTOCOL, "POST /v1/report").
+
+A worker belongs to a node of its own zone where there is one, or else to the leader. Any other node forwards its
+reports to the leader over the peer connection and passes the leader's answer on. If that connection fails, the answer
+holds no commands: it renews the worker's lease and keeps its tasks alive through outages and partitions. Since the node
+is in the worker's own zone, a partition between zones does not affect the worker at all. That is safe because the end
+of a lease is nowhere taken as a proof that tasks are gone (docs/design.md): only a newer report or an answered deletion
+is.
 """
 
 from __future__ import annotations
@@ -30,194 +31,213 @@
 
 log = logging.getLogger(__name__)
 
-_commands = msgspec.json.Decoder(worker_messages.Commands)
+_commands_decoder = msgspec.json.Decoder(worker_messages.Commands)
 
 Answer = tuple[int, bytes]  # status and body
 
 
 class ReportingLeader(Protocol):
-    """What answers reports need of the leader's work."""
+    """What answering reports needs of a leader term."""
 
     @property
-    def term(self) -> int: ...
+    def term(self) -> int:
+        """The term, which is also the token of the commands."""
 
     def on_report(self, report: worker_messages.Report) -> list[worker_messages.Command] | None:
-        """Commands for the worker, or None if it is not to be answered with 200."""
+        """Commands for the worker, or None if the answer is not to be 200."""
 
     def has_pending_starts(self, name: str) -> bool:
-        """Are there starts that the next report's answer should carry?"""
+        """Whether there are starts that the answer to the next report of this machine should carry."""
 
 
 class ReportHost(Protocol):
-    """What answering reports needs of the node that they come to."""
+    """What answering reports needs of the node that receives them."""
 
     @property
-    def settings(self) -> Settings: ...
+    def settings(self) -> Settings:
+        """This node's settings."""
 
     @property
-    def peers(self) -> PeerConnections: ...
+    def peers(self) -> PeerConnections:
+        """The connections to the other nodes."""
 
     @property
-    def leader_term(self) -> ReportingLeader | None: ...
+    def leader_term(self) -> ReportingLeader | None:
+        """The current leader term of this node; None while it does not lead."""
 
     @property
-    def cancellation_enforcer(self) -> CancellationEnforcer: ...
+    def cancellation_enforcer(self) -> CancellationEnforcer:
+        """The enforcer that adds the stops of cancelled tasks to answers."""
 
     def hears_others(self) -> bool:
-        """Is the state service or any other node in hearing?"""
+        """Whether the state service or any other node is in reach."""
 
     def leader_elsewhere(self) -> str | None:
-        """The node that leads and that this one can't hand reports to, if there is one."""
+        """The node that leads and that this one can't forward reports to, if there is one."""
 
     def known_term(self) -> int:
-        """The highest term that this node has heard of."""
+        """The highest term that this node knows of."""
 
 
 @dataclass(slots=True)
 class Contact:
-    """A worker that belongs to another node. It is served first, and only then sent there:
+    """A worker that belongs to another node. Times are monotonic seconds.
 
-    a worker that had just lost its node to a cut was once redirected to it again, and its lease ran out before it
-    had gone round the nodes once more.
+    It is served first, and only then redirected to its home node: a worker that had just lost its node to a partition
+    was once redirected to it again, and its lease ran out before it had tried all nodes once more.
     """
 
-    at: float = 0.0
-    served: bool = False
-    redirected: float = -math.inf
-    stay_until: float = -math.inf
+    reported_at: float = 0.0
+    served: bool = False  # answered with 200 since its last redirect
+    redirected_at: float = -math.inf
+    stay_until: float = -math.inf  # it is served here until then
 
 
 class ReportHandler:
+    """Answers the reports that come to this node: as the leader, by forwarding, or by renewing the lease alone."""
+
     def __init__(self, node: ReportHost) -> None:
+        """Start in contact, with no worker known."""
         self.node = node
         self._contacts: dict[str, Contact] = {}
         workers = node.settings.settings.workers
-        self.heard_at = -math.inf  # when a worker was last heard here
+        self.last_report_at = -math.inf  # monotonic time of the last report that came here
         self.partition_detector = PartitionDetector(len(node.settings.seeds), workers.lease_s, workers.report_s)
 
     def handle(self, body: bytes) -> Answer | asyncio.Future[Answer]:
-        """The answer to a report, at once where this node can give it: most reports then cost no task of their own."""
+        """The answer to a report, at once where this node can give it: most reports then need no task of their own.
+
+        400: malformed; 421: the worker is redirected to another node; 200: the worker's commands.
+        """
         try:
             report = worker_messages.parse_report(body)
         except Invalid as err:
-            log.warning("report dropped: %s", err)
+            log.warning("report: malformed: error=%s", err)
             return 400, msgspec.json.encode({"error": str(err)})
         now = monotonic_time()
-        controller = self.node.leader_term
-        self.heard_at = now
-        led = self.node.leader_elsewhere()
-        self.partition_detector.update(led is None and self.node.hears_others(), now)
-        knows_more = report.token > self.node.known_term()
+        leader_term = self.node.leader_term
+        self.last_report_at = now
+        unreachable_leader = self.node.leader_elsewhere()
+        self.partition_detector.update(unreachable_leader is None and self.node.hears_others(), now)
+        has_newer_token = report.token > self.node.known_term()
         if self.partition_detector.redirects(
-            report.machine, (report.session, report.seq), not report.tasks, knows_more, now
+            report.machine, (report.session, report.seq), not report.tasks, has_newer_token, now
         ):
-            return 421, msgspec.json.encode(worker_messages.Redirect(led or self._another(report.machine)))
-        home = self._home(report.zone, now)
-        if home is not None and not (controller is not None and controller.has_pending_starts(report.machine)):
-            target = self._redirect(report.machine, home, now)
+            return 421, msgspec.json.encode(
+                worker_messages.Redirect(unreachable_leader or self._any_node_for(report.machine))
+            )
+        home = self._home_node(report.zone, now)
+        if home is not None and not (leader_term is not None and leader_term.has_pending_starts(report.machine)):
+            target = self._redirect_target(report.machine, home, now)
             if target is not None:
                 return 421, msgspec.json.encode(worker_messages.Redirect(target))
-        answer = self.take(report)
+        answer = self._answer_as_leader(report)
         if answer is None:
             leader = self.node.peers.leader(now)
             if leader is not None:
-                return self._hand_over(leader, body, report, home is not None)
-            answer = self._renew(report)
-        return self._note(report, answer, home is not None)
+                return self._forward(leader, body, report, home is not None)
+            answer = self._renew_lease(report)
+        return self._finish(report, answer, home is not None)
 
-    def _hand_over(
-        self, leader: Peer, body: bytes, report: worker_messages.Report, away: bool
+    def _forward(
+        self, leader: Peer, body: bytes, report: worker_messages.Report, belongs_elsewhere: bool
     ) -> asyncio.Future[Answer]:
         answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
 
-        def done(got: Answer | None) -> None:
-            good = got is not None and got[0] == 200
-            answer.set_result(self._note(report, got if got is not None and good else self._renew(report), away))
-
-        self.node.peers.forward_report(leader, body, done)
+        def on_answer(forwarded: Answer | None) -> None:
+            accepted = forwarded is not None and forwarded[0] == 200
+            answer.set_result(
+                self._finish(
+                    report,
+                    forwarded if forwarded is not None and accepted else self._renew_lease(report),
+                    belongs_elsewhere,
+                )
+            )
+
+        self.node.peers.forward_report(leader, body, on_answer)
         return answer
 
-    def _note(self, report: worker_messages.Report, answer: Answer, away: bool) -> Answer:
-        halts = self.node.cancellation_enforcer.on_report(report)
+    def _finish(self, report: worker_messages.Report, answer: Answer, belongs_elsewhere: bool) -> Answer:
+        stops = self.node.cancellation_enforcer.on_report(report)
         if answer[0] == 200:
-            if halts:
-                answer = 200, _with(answer[1], halts)
+            if stops:
+                answer = 200, _with_stops(answer[1], stops)
             self.partition_detector.served(report.machine, monotonic_time())
-            if away:
-                self._known(report.machine, monotonic_time()).served = True
+            if belongs_elsewhere:
+                self._contact(report.machine, monotonic_time()).served = True
         return answer
 
-    def _another(self, machine: str) -> str:
-        """Any other node, the same one for a machine: who leads by now is not known here."""
+    def _any_node_for(self, machine: str) -> str:
+        """Some other node, always the same one for a machine: which node leads now is not known here."""
         seeds = self.node.settings.seeds
         return seeds[crc32(machine.encode()) % len(seeds)].node
 
-    def take(self, report: worker_messages.Report) -> Answer | None:
+    def _answer_as_leader(self, report: worker_messages.Report) -> Answer | None:
         """Answer as the leader, or None when this node does not lead."""
-        controller = self.node.leader_term
-        if controller is None or report.token > controller.term:
+        leader_term = self.node.leader_term
+        if leader_term is None or report.token > leader_term.term:
             return None
-        commands = controller.on_report(report)
+        commands = leader_term.on_report(report)
         if commands is None:
             return 421, msgspec.json.encode(worker_messages.Redirect())
-        return 200, msgspec.json.encode(worker_messages.Commands(controller.term, commands))
+        return 200, msgspec.json.encode(worker_messages.Commands(leader_term.term, commands))
 
-    def relayed(self, body: bytes) -> Answer:
-        """A report that another node hands over."""
+    def answer_forwarded(self, body: bytes) -> Answer:
+        """Answer a report that another node has forwarded: 503 if this one does not lead, 400 if it is malformed."""
         try:
-            answer = self.take(worker_messages.parse_report(body))
+            answer = self._answer_as_leader(worker_messages.parse_report(body))
         except Invalid as err:
             return 400, msgspec.json.encode({"error": str(err)})
         return answer or (503, msgspec.json.encode({"error": "does not lead"}))
 
-    def _home(self, zone: str, now: float) -> str | None:
-        """The node that workers of a zone belong to, or None when it is this one."""
-        own, peers = self.node.settings, self.node.peers
+    def _home_node(self, zone: str, now: float) -> str | None:
+        """The node that workers of a zone belong to, or None if that is this one."""
+        settings, peers = self.node.settings, self.node.peers
         leader = peers.leader(now)
-        if own.zone == zone or (leader is None and self.node.leader_term is None):
+        if settings.zone == zone or (leader is None and self.node.leader_term is None):
             return None
         if leader is not None and leader.seed.zone == zone:
             return leader.seed.node
-        local = peers.reachable_in_zone(zone, now)
-        if local is not None:
-            return local
+        local_node = peers.reachable_in_zone(zone, now)
+        if local_node is not None:
+            return local_node
         return leader.seed.node if leader is not None and self.node.leader_term is None else None
 
-    def _redirect(self, machine: str, home: str, now: float) -> str | None:
-        """Send the worker home, unless it has just come back from there."""
-        seen = self._known(machine, now)
-        if now - seen.redirected < constants.REDIRECT_MEMORY_S:
-            seen.stay_until = now + constants.FORWARD_STICKY_S
-            seen.redirected = -math.inf
-            seen.served = False
-        if not seen.served or now < seen.stay_until:
+    def _redirect_target(self, machine: str, home: str, now: float) -> str | None:
+        """The node to redirect the worker to: its home node, unless it has just come back from there; None: none."""
+        contact = self._contact(machine, now)
+        if now - contact.redirected_at < constants.REDIRECT_MEMORY_S:
+            contact.stay_until = now + constants.FORWARD_STICKY_S
+            contact.redirected_at = -math.inf
+            contact.served = False
+        if not contact.served or now < contact.stay_until:
             return None
         # Its lease has just been renewed, so there is time to try.
-        seen.served = False
-        seen.redirected = now
+        contact.served = False
+        contact.redirected_at = now
         return home
 
-    def _known(self, machine: str, now: float) -> Contact:
-        """What this node remembers of a machine that reported to it though it does not lead."""
-        seen = self._contacts.get(machine)
-        if seen is None or now - seen.at > constants.CONTACT_MEMORY_S:
+    def _contact(self, machine: str, now: float) -> Contact:
+        """What this node remembers of a machine that belongs to another one, for CONTACT_MEMORY_S after a report."""
+        contact = self._contacts.get(machine)
+        if contact is None or now - contact.reported_at > constants.CONTACT_MEMORY_S:
             if len(self._contacts) > constants.CONTACTS_MAX:
                 self._contacts.clear()
-            seen = self._contacts[machine] = Contact()
-        seen.at = now
-        return seen
+            contact = self._contacts[machine] = Contact()
+        contact.reported_at = now
+        return contact
 
-    def _renew(self, report: worker_messages.Report) -> Answer:
-        """Keep the worker's tasks alive without a word of command."""
+    def _renew_lease(self, report: worker_messages.Report) -> Answer:
+        """Keep the worker's tasks alive without any command; 503 while no term is known."""
         term = max(report.token, self.node.known_term())
         if term == 0:
             return 503, msgspec.json.encode({"error": "no leader yet"})
         return 200, msgspec.json.encode(worker_messages.Commands(term, []))
 
 
-def _with(answer: bytes, halts: list[worker_messages.Command]) -> bytes:
-    """The answer with these stops too, under its own term (invariant 8)."""
-    given = _commands.decode(answer)
-    told = {(command.op, command.task, command.attempt) for command in given.commands}
-    more = [halt for halt in halts if (halt.op, halt.task, halt.attempt) not in told]
-    return msgspec.json.encode(worker_messages.Commands(given.token, given.commands + more)) if more else answer
+def _with_stops(answer: bytes, stops: list[worker_messages.Command]) -> bytes:
+    """The encoded answer with these stops added, under its own term (invariant 8)."""
+    commands = _commands_decoder.decode(answer)
+    present = {(command.op, command.task, command.attempt) for command in commands.commands}
+    added = [stop for stop in stops if (stop.op, stop.task, stop.attempt) not in present]
+    return msgspec.json.encode(worker_messages.Commands(commands.token, commands.commands + added)) if added else answer
