--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -143,7 +143,7 @@
     )  # nothing was ever placed
 
 
-def test_a_copy_and_an_older_word_change_nothing():
+def test_a_copy_and_an_older_record_change_nothing():
     intent_log = cancellations()
     cancellation = intent_log.add_record("wk-1", 5, record({"vm-000001": "0", "vm-000002": "1"}), 0.0)
     intent_log.clear_machine("wk-1", "vm-000001", 1.0, told=True)
@@ -180,20 +180,20 @@
     ) == ["vm-000001"]
 
 
-# -- what comes over the link ------------------------------------------------------------------
+# -- announcements of peers --------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
     "note", [b"", b"{", b'{"t":1}', b"\xff\xfe", records.encode(record({"vm-000001": "0"})).replace(b'"0"', b'"0-x"')]
 )
-def test_a_word_that_is_no_record_is_refused_and_ends_no_link(note, caplog):
+def test_an_announcement_that_is_no_record_is_refused_and_ends_no_connection(note, caplog):
     scene = begun()
     host, node = scene.nodes["node-1"]
     assert host.context.run(node._on_job, peer_messages.JobNote(3, "wk-1", note)) == 400
     assert len(caplog.records) == 1 and not node.cancellation_enforcer.cancellations.by_job
 
 
-def test_a_late_word_of_an_older_record_brings_no_place_back():
+def test_a_late_announcement_of_an_older_record_brings_no_assignment_back():
     """The leader has proven all of it and forgotten the job; a node tells it the record as it was cancelled."""
     scene = begun(run_s=500.0)
     scene.submit("wk-1", pieces=4)
@@ -220,7 +220,7 @@
     assert scene.state.revision <= changes + 1  # at most the book's page
 
 
-def test_a_frame_of_a_later_version_ends_no_link():
+def test_a_frame_of_a_later_version_ends_no_connection():
     scene = begun()
     _, node = scene.nodes["node-0"]
     peer = node.peers.by_node["node-1"]
@@ -233,8 +233,8 @@
     assert scene.nodes["node-1"][1].peers.by_node["node-0"].fresh(scene.nodes["node-1"][0].monotonic_time())
 
 
-def test_a_node_of_the_version_before_is_told_again_at_a_pace_and_its_link_holds(monkeypatch):
-    """It takes a word about a record and never answers; a frame that it does not know would end its link."""
+def test_a_node_of_the_version_before_is_notified_at_intervals_and_its_connection_holds(monkeypatch):
+    """It takes an announced record and never answers; a frame that it does not know would end its connection."""
     scene = begun(run_s=500.0)
     scene.submit("wk-1", pieces=4)
     scene.loop.run(20.0)
@@ -261,7 +261,7 @@
     assert 1 <= len(told) < 2 * CANCEL_S / constants.CANCELLATION_NOTIFY_S
 
 
-def test_on_a_quiet_day_the_leader_sees_to_it_and_no_machine_is_deleted_for_it(caplog):
+def test_without_faults_the_leader_enforces_cancellations_and_no_machine_is_deleted_for_them(caplog):
     scene = begun(run_s=500.0)
     caplog.set_level("INFO")
     for n in range(4):
@@ -272,13 +272,13 @@
     scene.loop.run(scene.loop.now + 5.0)
     assert all(scene.on_machines(f"wk-{n}") == [] for n in range(4))
     scene.loop.run(scene.loop.now + 2 * CANCEL_S)
-    assert "past the leader" not in caplog.text
+    assert "without the leader" not in caplog.text
     assert "for a cancelled task" not in caplog.text and "holds the cancelled" not in caplog.text
     # Nobody keeps anything of it, and nothing was asked of the machines by those who don't lead.
     assert all(not node.cancellation_enforcer.cancellations.by_job for _, node in scene.nodes.values())
 
 
-def test_a_machine_deleted_past_the_leader_is_no_room_for_it():
+def test_the_leader_places_nothing_on_a_machine_that_another_node_has_deleted():
     scene = begun(run_s=500.0)
     scene.submit("wk-1", pieces=4)
     scene.loop.run(20.0)
@@ -348,7 +348,7 @@
 WITHOUT = {
     "all nodes are told": (
         CancellationEnforcer,
-        "_tell",
+        "_announce",
         lambda self, cancellation, now: None,
         lambda: gaps.test_a_node_ends_inside_the_gap("confirming", 0.05, 0.3),
     ),
@@ -372,7 +372,7 @@
     ),
     "the list tells where machines answer": (
         CancellationEnforcer,
-        "_learn",
+        "_look_up_addresses",
         lambda self, now: None,
         lambda: gaps.test_machines_that_only_the_old_leader_has_heard_are_told_and_not_deleted(False),
     ),
--- a/winglift/workers/cancellation_enforcement.py
+++ b/winglift/workers/cancellation_enforcement.py
@@ -1,8 +1,9 @@
-"""Sees to confirmed cancellations, on every node that knows of them, until their tasks are proven off.
+"""Enforces confirmed cancellations, on every node that knows of them, until their tasks are proven off.
 
-Whoever confirms one is answerable for it. It tells all nodes; each answers reports that list such a task with its stop,
-leader or not. While no leader that can act has taken it over, each node also asks the machines that it has heard, and
-deletes in good time those that nobody has proven free (docs/recovery.md, "Cancellations and who answers for them").
+The node that confirms a cancellation is responsible for it. It announces the cancellation to all nodes; each node, the
+leader or not, answers reports that list a task of it with a stop. While no leader that can act has taken it over, each
+node also sends stops to the machines that have reported to it, and deletes in good time those that no node has proven
+free (docs/recovery.md, "Cancellations and who answers for them").
 """
 
 from __future__ import annotations
@@ -30,48 +31,55 @@
 
 
 class CancellationHost(Protocol):
-    """What seeing to ends needs of the node."""
+    """What enforcing cancellations needs of the node."""
 
     @property
-    def settings(self) -> Settings: ...
+    def settings(self) -> Settings:
+        """This node's settings."""
 
     @property
-    def peers(self) -> PeerConnections: ...
+    def peers(self) -> PeerConnections:
+        """The connections to the other nodes."""
 
     @property
-    def state(self) -> StateClient: ...
+    def state(self) -> StateClient:
+        """The client of the state service."""
 
     @property
-    def cloud(self) -> CloudClient: ...
+    def cloud(self) -> CloudClient:
+        """The client of the cloud."""
 
     def known_term(self) -> int:
-        """The highest term that this node has heard of."""
+        """The highest term that this node knows of."""
 
     def leader_by_record(self) -> str:
-        """The node that leads by the state service's word, as this one has last read it; empty: none."""
+        """The leader by the state service's record, as this node has last read it; empty: none."""
 
     def handles_cancellation(self, ref: str) -> bool:
-        """Does this node lead, and can it act, and has it the cancellation in its picture?"""
+        """Whether this node leads, can act, and has the cancellation in its cluster state."""
 
     def has_cleared_job(self, ref: str) -> bool:
-        """Has this node, as a leader that can act, proven all tasks of the job off?"""
+        """Whether this node, as a leader that can act, has proven all tasks of the job off."""
 
     def on_machines_deleted(self, machines: list[str]) -> None:
-        """These machines have been deleted past the leader."""
+        """Note that these machines have been deleted without the leader."""
 
 
 @dataclass(slots=True)
 class MachineContact:
-    """Where a machine answers questions."""
+    """The address of a machine's worker. Times are monotonic seconds."""
 
     addr: str
     session: int
-    at: float
-    asked: float = -math.inf
+    reported_at: float
+    commanded_at: float = -math.inf  # when stops were last sent to it
 
 
 class CancellationEnforcer:
+    """Enforces the cancellations that this node knows of, as a leader or not (invariant 8)."""
+
     def __init__(self, node: CancellationHost) -> None:
+        """Start with no cancellation known; `run` does the periodic work."""
         self.node = node
         params = node.settings.settings
         cancel_s = params.workers.cancel_s
@@ -79,7 +87,7 @@
             params.skew_ms / 1000, cancel_s, int(params.state.write_rps * cancel_s * constants.CANCELLATION_KEPT_SHARE)
         )
         self.contacts: dict[str, MachineContact] = {}
-        self._asking: dict[str, asyncio.Task] = {}
+        self._commanding: dict[str, asyncio.Task] = {}
         self._deleting: asyncio.Task | None = None
         self._listing: asyncio.Task | None = None
         self._next_list = 0.0
@@ -87,142 +95,157 @@
         self._next_sweep = 0.0
         self._next_read = 0.0
 
-    # -- what is heard -------------------------------------------------------------------------
+    # -- what arrives --------------------------------------------------------------------------
 
     def add_record(self, ref: str, version: int, record: records.JobRecord) -> bool:
-        """A record that is committed. If it is a cancellation with places, the other nodes are told at once, and the
-        user after that. True: this node has it."""
+        """Take in a committed record; True: it is a cancellation that this node now enforces.
+
+        A cancellation of tasks that are assigned to machines is announced to the other nodes at once, and to the user
+        after that.
+        """
         now = monotonic_time()
         cancellation = self.cancellations.add_record(ref, version, record, now)
         if cancellation is None or cancellation.state is CancellationState.CONFIRMED:
             return cancellation is not None
-        self._tell(cancellation, now)
+        self._announce(cancellation, now)
         self._wake.set()
         return True
 
     def on_peer_connected(self, node: str) -> None:
-        """It may be another process than the one that knew."""
+        """Announce all cancellations to this node again: it may be another process than the one that knew them."""
         for cancellation in self.cancellations.by_job.values():
             cancellation.notified.pop(node, None)
 
     def on_proofs(self, proofs: list[tuple[str, str]]) -> None:
-        """What another node has proven."""
+        """Take in proofs of another node: job and machine, or no job if the machine is deleted."""
         now = monotonic_time()
         for ref, machine in proofs:
             if ref:
                 self.cancellations.clear_machine(ref, machine, now, told=True)
             else:
                 self.cancellations.machine_deleted(machine, now, told=True)
-        gone = [machine for ref, machine in proofs if not ref]
-        if gone:
-            self.node.on_machines_deleted(gone)
+        deleted = [machine for ref, machine in proofs if not ref]
+        if deleted:
+            self.node.on_machines_deleted(deleted)
 
     def on_report(self, report: worker_messages.Report) -> list[worker_messages.Command]:
-        """The stops that its answer must carry, whoever gives it."""
+        """The stops that the answer to this report must carry, whichever node gives it."""
         now = monotonic_time()
-        heard = self.contacts.get(report.machine)
-        if heard is None or heard.session <= report.session:
-            asked = heard.asked if heard is not None else -math.inf
-            self.contacts[report.machine] = MachineContact(report.addr, report.session, now, asked)
+        contact = self.contacts.get(report.machine)
+        if contact is None or contact.session <= report.session:
+            commanded_at = contact.commanded_at if contact is not None else -math.inf
+            self.contacts[report.machine] = MachineContact(report.addr, report.session, now, commanded_at)
         if now >= self._next_sweep:
             self._next_sweep = now + constants.CONTACT_KEPT_S / 4
             self.contacts = {
-                name: one for name, one in self.contacts.items() if now - one.at < constants.CONTACT_KEPT_S
+                name: contact
+                for name, contact in self.contacts.items()
+                if now - contact.reported_at < constants.CONTACT_KEPT_S
             }
         return self.cancellations.on_report(report, now)
 
-    # -- what is done --------------------------------------------------------------------------
+    # -- enforcement ---------------------------------------------------------------------------
 
     async def run(self) -> None:
+        """Check the cancellations every CANCELLATION_CHECK_S, for as long as this node runs."""
         while True:
             if not self.cancellations.by_job:
                 self._wake.clear()
                 await self._wake.wait()
             try:
-                await self._look(monotonic_time(), wall_time())
+                await self._check(monotonic_time(), wall_time())
             except Exception:
-                # One end that can't be seen to must not keep the others waiting.
-                log.exception("fault in seeing to cancellations")
+                # One cancellation that can't be enforced must not keep the others waiting.
+                log.exception("cancellations: fault in enforcing them")
             await asyncio.sleep(constants.CANCELLATION_CHECK_S)
 
-    async def _look(self, now: float, at: float) -> None:
+    async def _check(self, now: float, wall: float) -> None:
         for cancellation in list(self.cancellations.by_job.values()):
-            if cancellation.state is CancellationState.CONFIRMED:
-                continue
-            self._tell(cancellation, now)
-            if self.node.has_cleared_job(cancellation.ref):
-                self.cancellations.clear_job(cancellation.ref, now)
-            else:
-                cancellation.move(
-                    CancellationEvent.DELEGATE if self._is_left(cancellation, now) else CancellationEvent.DELEGATE_LOST,
-                    now,
-                )
-        self._ask(now)
-        names = self._due(now, at)
-        if names and (self._deleting is None or self._deleting.done()):
-            self._deleting = asyncio.ensure_future(self._delete(names[: constants.DELETE_MAX]))
+            if cancellation.state is not CancellationState.CONFIRMED:
+                self._announce_or_clear(cancellation, now)
+        self._send_stops(now)
+        machines = self._machines_to_delete(now, wall)
+        if machines and (self._deleting is None or self._deleting.done()):
+            self._deleting = asyncio.ensure_future(self._delete(machines[: constants.DELETE_MAX]))
         proofs, self.cancellations.unsent_proofs = self.cancellations.unsent_proofs, []
         self.node.peers.announce_proofs(proofs)
         self.cancellations.prune(now)
-        await self._reread(now, at)
-
-    def _tell(self, cancellation: Cancellation, now: float) -> None:
+        await self._reread(now, wall)
+
+    def _announce_or_clear(self, cancellation: Cancellation, now: float) -> None:
+        self._announce(cancellation, now)
+        if self.node.has_cleared_job(cancellation.ref):
+            self.cancellations.clear_job(cancellation.ref, now)
+        elif self._is_delegated(cancellation, now):
+            cancellation.move(CancellationEvent.DELEGATE, now)
+        else:
+            cancellation.move(CancellationEvent.DELEGATE_LOST, now)
+
+    def _announce(self, cancellation: Cancellation, now: float) -> None:
         leader = self.node.peers.leader(now)
         for name, peer in self.node.peers.by_node.items():
-            # A node that knew before it led has yet to take it over.
-            offered = (
+            # A node that knew of the cancellation before it led has yet to take it over.
+            leader_has_to_take_over = (
                 peer is leader
-                and cancellation.delegated_to != _led(peer)
+                and cancellation.delegated_to != _leadership(peer)
                 and cancellation.notified.get(name) == math.inf
             )
-            if offered or cancellation.notified.get(name, -math.inf) <= now:
+            if leader_has_to_take_over or cancellation.notified.get(name, -math.inf) <= now:
                 cancellation.notified[name] = now + constants.CANCELLATION_NOTIFY_S
                 self.node.peers.announce_record(
                     peer,
                     peer_messages.JobNote(cancellation.version, cancellation.ref, cancellation.record),
-                    lambda answer, peer=peer: self._told(cancellation, peer, answer),  # type: ignore[misc]
+                    lambda answer, peer=peer: self._on_announced(cancellation, peer, answer),  # type: ignore[misc]
                 )
 
-    def _told(self, cancellation: Cancellation, peer: Peer, answer: tuple[int, bytes] | None) -> None:
+    def _on_announced(self, cancellation: Cancellation, peer: Peer, answer: tuple[int, bytes] | None) -> None:
         if answer is None:
             return
         if answer[0] == 200:
-            cancellation.delegated_to = _led(peer)
-        # A leader that can't act yet is asked again; anybody else knows it for as long as its process lasts.
+            cancellation.delegated_to = _leadership(peer)
+        # A leader that can't act yet is notified again; any other node knows it for as long as its process lasts.
         if answer[0] == 200 or peer is not self.node.peers.leader(monotonic_time()):
             cancellation.notified[peer.seed.node] = math.inf
 
-    def _is_left(self, cancellation: Cancellation, now: float) -> bool:
-        """Is there a leader that sees to it? One that has it and is in hearing, or one that the state service names,
-        since it follows the records; in an outage nobody can tell the latter."""
+    def _is_delegated(self, cancellation: Cancellation, now: float) -> bool:
+        """Whether a leader enforces it: one in reach that has taken it over, or one that the state service names.
+
+        The latter follows the records; in an outage of the state service no node can know of it.
+        """
         if self.node.handles_cancellation(cancellation.ref):
             return True
         leader = self.node.peers.leader(now)
-        if leader is not None and cancellation.delegated_to == _led(leader):
+        if leader is not None and cancellation.delegated_to == _leadership(leader):
             return True
-        named = self.node.leader_by_record()
-        return self.node.state.health() is Health.GOOD and named not in ("", self.node.settings.node)
+        recorded_leader = self.node.leader_by_record()
+        return self.node.state.health() is Health.GOOD and recorded_leader not in ("", self.node.settings.node)
 
-    def _ask(self, now: float) -> None:
-        """Tell the machines of open ends to stop, at once and, once their answer is a proof, until it is one."""
+    def _send_stops(self, now: float) -> None:
+        """Send stops to the machines of outstanding cancellations.
+
+        A machine is sent them at once and, from the time when its answer counts as a proof, every CANCELLATION_PROBE_S
+        until it is one.
+        """
         for cancellation in self.cancellations.outstanding():
             settled = cancellation.min_age_s(now) >= self.cancellations.settle_s
             for machine in cancellation.stop_commands:
-                heard = self.contacts.get(machine)
-                if heard is None:
-                    self._learn(now)
-                elif machine not in self._asking and (
-                    heard.asked < cancellation.state_since
-                    or (settled and now - heard.asked > constants.CANCELLATION_PROBE_S)
+                contact = self.contacts.get(machine)
+                if contact is None:
+                    self._look_up_addresses(now)
+                elif machine not in self._commanding and (
+                    contact.commanded_at < cancellation.state_since
+                    or (settled and now - contact.commanded_at > constants.CANCELLATION_PROBE_S)
                 ):
-                    if len(self._asking) >= constants.PROBES_AT_ONCE:
+                    if len(self._commanding) >= constants.PROBES_AT_ONCE:
                         return
-                    heard.asked = now
-                    self._asking[machine] = asyncio.ensure_future(self._question(machine, heard))
+                    contact.commanded_at = now
+                    self._commanding[machine] = asyncio.ensure_future(self._stop_tasks(machine, contact))
+
+    def _look_up_addresses(self, now: float) -> None:
+        """Ask the cloud for the addresses of machines that report to another node, perhaps one out of reach.
 
-    def _learn(self, now: float) -> None:
-        """The cloud tells where machines answer that report to another node, perhaps one that nobody can tell anything:
-        without it they were deleted, with all the other work on them."""
+        Without them these machines were deleted, with all the other work on them.
+        """
         if now < self._next_list or (self._listing is not None and not self._listing.done()):
             return
         self._next_list = now + constants.CANCELLATION_LIST_S
@@ -232,29 +255,29 @@
         try:
             for entry in await self.node.cloud.list():
                 if entry.addr:
-                    # Its session is not known: the refusal of a first word tells it.
+                    # Its session is not known: the refusal of the first command carries it.
                     self.contacts.setdefault(entry.name, MachineContact(entry.addr, 0, monotonic_time()))
         except CloudError as err:
-            log.info("where machines answer: %s", err)
+            log.info("machine addresses: list request failed: error=%s", err)
 
-    async def _question(self, machine: str, heard: MachineContact) -> None:
+    async def _stop_tasks(self, machine: str, contact: MachineContact) -> None:
         try:
             stop_commands = [
-                halt
+                stop
                 for cancellation in self.cancellations.on_machine(machine)
-                for halt in cancellation.stop_commands[machine]
+                for stop in cancellation.stop_commands[machine]
             ]
-            # Its last word may be of an earlier session, or it knows a higher term: it is told once more then.
-            left, report = await self._told_to_stop(
-                machine, heard.addr, self.node.known_term(), heard.session, stop_commands
+            # Its last report may be of an earlier session, or it knows a higher term: it is commanded once more then.
+            remaining, report = await self._command_stops(
+                machine, contact.addr, self.node.known_term(), contact.session, stop_commands
             )
-            if left and report is not None:
+            if remaining and report is not None:
                 term = max(self.node.known_term(), report.token)
-                await self._told_to_stop(machine, heard.addr, term, report.session, left)
+                await self._command_stops(machine, contact.addr, term, report.session, remaining)
         finally:
-            self._asking.pop(machine, None)
+            self._commanding.pop(machine, None)
 
-    async def _told_to_stop(
+    async def _command_stops(
         self,
         machine: str,
         addr: str,
@@ -262,34 +285,33 @@
         session: int,
         stop_commands: list[worker_messages.Command],
     ) -> tuple[list[worker_messages.Command], worker_messages.Report | None]:
-        """What the machine still lists after these stops, and its report; none without a sound answer."""
-        asked = monotonic_time()
+        """Send stops: those whose tasks the machine lists even then, and its report; None: no valid answer."""
+        sent_at = monotonic_time()
         report = await command(addr, term, session, stop_commands)
         if report is None or report.machine != machine:
             return [], None
-        return self.cancellations.on_probe_answer(report, asked, monotonic_time()), report
+        return self.cancellations.on_probe_answer(report, sent_at, monotonic_time()), report
 
-    def _due(self, now: float, at: float) -> list[str]:
-        own, peers = self.node.settings.node, self.node.peers.by_node.items()
-        rank = sum(name < own and peer.fresh(now) for name, peer in peers)
+    def _machines_to_delete(self, now: float, wall: float) -> list[str]:
+        own_name, peers = self.node.settings.node, self.node.peers.by_node.items()
+        rank = sum(name < own_name and peer.fresh(now) for name, peer in peers)
         return self.cancellations.machines_to_delete(
-            now, at, rank, constants.CANCEL_HEAR_REPORTS * self.node.settings.settings.workers.report_s
+            now, wall, rank, constants.CANCEL_HEAR_REPORTS * self.node.settings.settings.workers.report_s
         )
 
     def may_delete(self, names: list[str]) -> bool:
-        """Asked as the last thing before they are deleted: is all that is said of them still so?"""
-        return set(names) <= set(self._due(monotonic_time(), wall_time()))
+        """Whether these machines are all still to be deleted; the last check before the request is sent."""
+        return set(names) <= set(self._machines_to_delete(monotonic_time(), wall_time()))
 
     async def _delete(self, names: list[str]) -> None:
         log.info(
-            "deletes %s past the leader: they may hold tasks of cancelled jobs, and nobody else sees to it",
-            " ".join(names),
+            "machines: deleted without the leader, they may hold tasks of cancelled jobs: machines=%s", " ".join(names)
         )
         try:
             await self.node.cloud.delete_for_cancellation(names)
         except CloudError as err:
-            # Unanswered is not undone, and no proof: it is tried again.
-            log.info("deletion: %s", err)
+            # A deletion without an answer may have been carried out, and is no proof: it is tried again.
+            log.info("deletion: request failed: error=%s", err)
             await asyncio.sleep(constants.CLOUD_PAUSE_S)
             return
         now = monotonic_time()
@@ -297,16 +319,17 @@
             self.cancellations.machine_deleted(name, now)
         self.node.on_machines_deleted(names)
 
-    async def _reread(self, now: float, at: float) -> None:
-        """What has been left to a leader for long is looked up: it takes out of the record what it has proven."""
+    async def _reread(self, now: float, wall: float) -> None:
+        """Read the record of a cancellation that a leader has had for long: it removes from it what it has proven."""
         if now < self._next_read or self.node.state.health() is not Health.GOOD:
             return
         after_s = self.cancellations.cancel_s * constants.CANCELLATION_REREAD_SHARE
         cancellation = next(
             (
-                e
-                for e in self.cancellations.by_job.values()
-                if e.state is CancellationState.DELEGATED and e.max_age_s(at, self.cancellations.skew_s) > after_s
+                candidate
+                for candidate in self.cancellations.by_job.values()
+                if candidate.state is CancellationState.DELEGATED
+                and candidate.max_age_s(wall, self.cancellations.skew_s) > after_s
             ),
             None,
         )
@@ -320,8 +343,8 @@
                     cancellation.ref, item.version, records.decode(item.value), monotonic_time()
                 )
         except (RequestRejected, OutcomeUnknown, records.InvalidRecord) as err:
-            log.debug("%s: %s", cancellation.ref, err)
+            log.debug("cancellation: record not read: job=%s error=%s", cancellation.ref, err)
 
 
-def _led(peer: Peer) -> tuple[str, int]:
+def _leadership(peer: Peer) -> tuple[str, int]:
     return peer.seed.node, peer.last_state.term if peer.last_state is not None else 0
