--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -362,8 +362,8 @@
                         self.task_stopper.add(task)
 
     def _check_machines(self, now: float) -> None:
-        hears_anyone = not self.peers.by_node or self.peers.hears_anyone(now)
-        verdicts = self.failure_detector.evaluate(now, wall_time(), hears_anyone, self.peers.hears_all(now))
+        hears_anyone = not self.peers.by_node or self.peers.any_fresh(now)
+        verdicts = self.failure_detector.evaluate(now, wall_time(), hears_anyone, self.peers.all_fresh(now))
         if verdicts.isolated:
             self.duties.relinquish()
             # Not cancelled by `stop`: the resignation itself ends this term. The reference protects the task from
