--- a/standins/loop.py
+++ b/standins/loop.py
@@ -75,7 +75,7 @@
     def _run(self, handle: asyncio.Handle) -> None:
         if handle.cancelled():
             return
-        host = handle._context.get(runtime._here)  # type: ignore[attr-defined]
+        host = handle._context.get(runtime._current)  # type: ignore[attr-defined]
         if isinstance(host, Stops) and host.held is not None:
             if not host.crashed:
                 host.held.append(handle)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -29,9 +29,9 @@
         sock, port = bind_unused_port()
         server.add_sockets([sock])
         idle, _ = await asyncio.open_connection("127.0.0.1", port)
-        while len(server.seen) < 1:
+        while len(server.waiting_since) < 1:
             await asyncio.sleep(0)
-        (first,) = server.seen
+        (first,) = server.waiting_since
         used, writer = await asyncio.open_connection("127.0.0.1", port)
 
         async def ask() -> bytes:
@@ -39,24 +39,24 @@
             return await used.readuntil(b"hello")
 
         assert (await ask()).startswith(b"HTTP/1.1 200") and server.open == 2
-        armed = server._sweep
+        armed = server._sweep_timer
         assert armed is not None and 0.0 < armed.when() - asyncio.get_running_loop().time() <= 15.0
         server._close_idle()  # both are younger than that
         assert server.open == 2 and (await ask()).startswith(b"HTTP/1.1 200")
-        server.seen[first] -= 75.0
+        server.waiting_since[first] -= 75.0
         server._close_idle()
         assert await idle.read() == b"" and (await ask()).startswith(b"HTTP/1.1 200")
-        assert server.open == 1 and first not in server.seen and server._sweep is not None
+        assert server.open == 1 and first not in server.waiting_since and server._sweep_timer is not None
         # A request begun counts as use.
-        (second,) = server.seen
-        old = server.seen[second] = server.seen[second] - 75.0
+        (second,) = server.waiting_since
+        old = server.waiting_since[second] = server.waiting_since[second] - 75.0
         assert (await ask()).startswith(b"HTTP/1.1 200")
-        while server.seen[second] == old:
+        while server.waiting_since[second] == old:
             await asyncio.sleep(0)
         server._close_idle()
         assert (await ask()).startswith(b"HTTP/1.1 200")
         server.stop()
-        server._sweep.cancel()
+        server._sweep_timer.cancel()
 
     asyncio.run(scenario())
 
--- a/tests/test_kinds.py
+++ b/tests/test_kinds.py
@@ -377,8 +377,8 @@
 
 def test_a_type_that_vanishes_refuses_no_job_for_good():
     node = SimpleNamespace(types={}, withdrawn_types={})
-    Node._take_types(node, dict(TYPES))  # type: ignore[arg-type]
-    Node._take_types(node, {"s": SMALL})  # type: ignore[arg-type]
+    Node._update_types(node, dict(TYPES))  # type: ignore[arg-type]
+    Node._update_types(node, {"s": SMALL})  # type: ignore[arg-type]
     assert set(node.withdrawn_types) == {"w", "g"} and set(node.types) == {"s"}
     jobs = Jobs(
         settings(),
@@ -396,5 +396,5 @@
         simulated(jobs.submit(GANG))
     with pytest.raises(Unschedulable):
         simulated(jobs.submit(msgspec.structs.replace(GANG, cpus=999.0)))
-    Node._take_types(node, dict(TYPES))  # type: ignore[arg-type]
+    Node._update_types(node, dict(TYPES))  # type: ignore[arg-type]
     assert not node.withdrawn_types
--- a/winglift/api/__init__.py
+++ b/winglift/api/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP handlers for users and workers."""
+"""The HTTP interface of a node: users' requests, the health check and the fast path for workers' reports."""
--- a/winglift/api/report_fast_path.py
+++ b/winglift/api/report_fast_path.py
@@ -1,4 +1,7 @@
-"""The first to see a request. Workers' reports, by far the most of them, take a short way past routing and handlers."""
+"""Fast path for workers' reports: they bypass tornado's routing and handlers, all else goes to the application.
+
+Reports (PROTOCOL, "POST /v1/report") are by far the most frequent requests.
+"""
 
 from __future__ import annotations
 
@@ -11,62 +14,73 @@
 REPORT = "/v1/report"
 
 Answer = tuple[int, bytes]
-Handle = Callable[[bytes], Answer | asyncio.Future[Answer]]
+ReportHandler = Callable[[bytes], Answer | asyncio.Future[Answer]]
 
 
 class ReportFastPath(httputil.HTTPServerConnectionDelegate):
-    """At 515 machines a web handler per report cost each node a third of its work."""
+    """Dispatches requests: reports to `on_report`, all others to the web application.
+
+    At 515 machines, a web handler per report took a third of each node's processor time.
+    """
 
-    def __init__(self, application: web.Application, on_report: Handle) -> None:
+    def __init__(self, application: web.Application, on_report: ReportHandler) -> None:
         self.application = application
         self.on_report = on_report
 
     def start_request(self, server_conn: object, request_conn: httputil.HTTPConnection) -> httputil.HTTPMessageDelegate:
+        """Begin a request."""
         return _Request(self, server_conn, request_conn)
 
     def on_close(self, server_conn: object) -> None:
+        """Pass on that a connection was closed."""
         self.application.on_close(server_conn)
 
 
 class _Request(httputil.HTTPMessageDelegate):
-    def __init__(self, front: ReportFastPath, server_conn: object, request_conn: httputil.HTTPConnection) -> None:
-        self.front = front
+    """One request; `delegate` handles it unless it is a report."""
+
+    def __init__(self, fast_path: ReportFastPath, server_conn: object, request_conn: httputil.HTTPConnection) -> None:
+        self.fast_path = fast_path
         self.server_conn = server_conn
         self.request_conn = request_conn
-        self.other: httputil.HTTPMessageDelegate | None = None
+        self.delegate: httputil.HTTPMessageDelegate | None = None
         self.chunks: list[bytes] = []
 
     def headers_received(self, start_line, headers):  # type: ignore[no-untyped-def]
+        """Choose the path by method and path."""
         if start_line.method == "POST" and start_line.path == REPORT:
             return None
-        self.other = self.front.application.start_request(self.server_conn, self.request_conn)
-        return self.other.headers_received(start_line, headers)
+        self.delegate = self.fast_path.application.start_request(self.server_conn, self.request_conn)
+        return self.delegate.headers_received(start_line, headers)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        if self.other is not None:
-            return self.other.data_received(chunk)
+        """Collect a part of a report's body, or pass it on."""
+        if self.delegate is not None:
+            return self.delegate.data_received(chunk)
         self.chunks.append(chunk)
         return None
 
     def finish(self) -> None:
-        if self.other is not None:
-            self.other.finish()
+        """Handle the complete request; a report may be answered later, once its future is done."""
+        if self.delegate is not None:
+            self.delegate.finish()
             return
-        answer = self.front.on_report(b"".join(self.chunks))
+        answer = self.fast_path.on_report(b"".join(self.chunks))
         if isinstance(answer, tuple):
-            self._answer(answer)
+            self._send(answer)
         else:
-            answer.add_done_callback(self._answer_late)
+            answer.add_done_callback(self._on_answer_ready)
 
     def on_connection_close(self) -> None:
-        if self.other is not None:
-            self.other.on_connection_close()
+        """Pass on that the client closed the connection."""
+        if self.delegate is not None:
+            self.delegate.on_connection_close()
 
-    def _answer_late(self, answer: asyncio.Future[Answer]) -> None:
+    def _on_answer_ready(self, answer: asyncio.Future[Answer]) -> None:
         if not answer.cancelled():
-            self._answer(answer.result())
+            self._send(answer.result())
 
-    def _answer(self, answer: Answer) -> None:
+    def _send(self, answer: Answer) -> None:
         status, body = answer
         conn = self.request_conn
         if isinstance(conn, HTTP1Connection) and conn.stream.closed():
--- a/winglift/flows/service.py
+++ b/winglift/flows/service.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from .. import constants
-from ..api.handlers import ApiHost, ForUsers
+from ..api.handlers import ApiHost, UserHandler
 from ..api.jobs import Jobs, TemporarilyUnavailable, Unschedulable
 from ..config.settings import Settings, parse_addr
 from ..controller.leader_term import LeaderTerm
@@ -202,14 +202,14 @@
         raise TemporarilyUnavailable("the workflow changes too often just now")
 
 
-class ForFlows(ForUsers):
+class ForFlows(UserHandler):
     def initialize(self, node: ApiHost, flows: Flows) -> None:  # type: ignore[override]
         self.node = node
         self.flows = flows
 
     async def answer(self, ask: Callable[[], Awaitable[tuple[int, object]]]) -> None:
         try:
-            await self.tell(ask, "no such workflow")
+            await self.respond(ask, "no such workflow")
         except Unlike as err:
             self.refuse(409, str(err))
 
--- a/winglift/net/__init__.py
+++ b/winglift/net/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP client with kept connections, built from tornado's own parts, and rate budgets."""
+"""Network access: the runtime (clocks, randomness, sockets), a pooling HTTP client and rate budgets."""
--- a/winglift/net/budget.py
+++ b/winglift/net/budget.py
@@ -22,13 +22,13 @@
         self.at = now
 
     def resize(self, rate: float, burst: float, now: float) -> None:
-        """A node's share changes when it begins or ceases to lead."""
+        """Change rate and burst: a node's share of a service changes when it starts or stops leading."""
         self._fill(now)
         self.rate, self.burst = rate, burst
         self.tokens = min(self.tokens, burst)
 
     def take(self, now: float, amount: float = 1.0) -> bool:
-        """Take tokens now, if there are so many."""
+        """Take `amount` tokens (at most `burst`) if they are available now; returns whether they were taken."""
         self._fill(now)
         if self.tokens < min(amount, self.burst):
             return False
@@ -36,10 +36,10 @@
         return True
 
     def reserve(self, now: float, amount: float, max_wait: float) -> float | None:
-        """Seconds to wait for tokens that are kept from now on, first come first served; or None: it would take longer.
+        """Reserve tokens in FIFO order. Returns the seconds to wait for them, or None if that exceeds `max_wait`.
 
-        Without a place in the queue, each of 80 submissions in a rush saw a short wait, and most then waited for 5 s
-        and more, past their users' patience.
+        Without a reservation, each of 80 simultaneous submissions computed a short wait, and most then waited for
+        5 s and more, past their users' timeout.
         """
         self._fill(now)
         wait = max(0.0, (amount - self.tokens) / self.rate)
@@ -49,16 +49,16 @@
         return wait
 
     def free(self, now: float) -> float:
-        """Tokens that are there."""
+        """Number of tokens available now, never negative."""
         self._fill(now)
         return max(0.0, self.tokens)
 
     def wait_s(self, now: float, amount: float = 1.0) -> float:
-        """Seconds until that much is there."""
+        """Seconds until `amount` tokens (at most `burst`) are available."""
         self._fill(now)
         return max(0.0, (min(amount, self.burst) - self.tokens) / self.rate)
 
     def penalise(self, now: float) -> None:
-        """The service said 429: others have used its budget too."""
+        """Empty the bucket after a 429 answer: other clients have used the service's budget too."""
         self._fill(now)
         self.tokens = min(self.tokens, 0.0)
--- a/winglift/net/client.py
+++ b/winglift/net/client.py
@@ -1,7 +1,7 @@
-"""HTTP client with kept connections, from tornado's own parts (IOStream and HTTP1Connection).
+"""HTTP client with a connection pool, built on tornado's IOStream and HTTP1Connection.
 
 Tornado's simple client opens a connection for every request. This one keeps a few per address,
-since connections cost sockets, packets and processor time that the machines are short of.
+since connections cost sockets, packets and processor time, which are scarce on the machines.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Unanswered(Exception):
-    """No complete answer came: the request may or may not have been carried out."""
+    """No complete response arrived: the request may or may not have been carried out."""
 
 
 class NotSent(Unanswered):
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """An HTTP answer."""
+    """An HTTP response; `retry_after` is its Retry-After header in seconds, if numeric."""
 
     status: int
     body: bytes
@@ -42,7 +42,7 @@
 
 
 class _Collector(httputil.HTTPMessageDelegate):
-    """Gathers one response."""
+    """Collects the parts of one response."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -51,33 +51,37 @@
         self.finished = False
 
     def headers_received(self, start_line, headers):  # type: ignore[no-untyped-def]
+        """Store status and headers."""
         self.status = start_line.code
         self.headers = headers
 
     def data_received(self, chunk: bytes) -> None:
+        """Store a part of the body."""
         self.chunks.append(chunk)
 
     def finish(self) -> None:
+        """Mark the response as complete."""
         self.finished = True
 
-    def keep(self) -> bool:
+    def reusable(self) -> bool:
+        """Whether the connection may serve another request after this response."""
         return self.finished and self.headers is not None and self.headers.get("Connection", "").lower() != "close"
 
 
 @dataclass(slots=True)
-class _Kept:
+class _PooledConnection:
     stream: IOStream
-    since: float
+    idle_since: float  # s, monotonic
 
 
 @dataclass
 class Client:
-    """One address. Connections are opened on demand and kept for the next request."""
+    """Client for one address. Opens connections on demand and keeps up to `most` idle ones for later requests."""
 
     host: str
     port: int
     most: int = constants.POOL_PER_HOST
-    _free: deque[_Kept] = field(default_factory=deque)
+    _idle: deque[_PooledConnection] = field(default_factory=deque)
 
     async def _connect(self) -> IOStream:
         stream = IOStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
@@ -85,21 +89,21 @@
             stream.set_nodelay(True)
             await stream.connect((self.host, self.port))
         except BaseException as err:
-            # A cancelled attempt must give its socket back, or cuts use up the socket limit.
+            # A cancelled attempt must close its socket, or network partitions use up the socket limit.
             stream.close()
             if isinstance(err, (StreamClosedError, OSError)):
                 raise NotSent(f"{self.host}:{self.port}: {err}") from None
             raise
         return stream
 
-    def _take(self) -> IOStream | None:
+    def _take_idle(self) -> IOStream | None:
         now = time.monotonic()
-        while self._free:
-            kept = self._free.pop()
-            if kept.stream.closed() or now - kept.since > constants.POOL_IDLE_S:
-                kept.stream.close()
+        while self._idle:
+            pooled = self._idle.pop()
+            if pooled.stream.closed() or now - pooled.idle_since > constants.POOL_IDLE_S:
+                pooled.stream.close()
                 continue
-            return kept.stream
+            return pooled.stream
         return None
 
     async def _exchange(self, stream: IOStream, method: str, path: str, body: bytes | None) -> Reply:
@@ -108,45 +112,51 @@
         if body is not None:
             headers["Content-Type"] = "application/json"
             headers["Content-Length"] = str(len(body))
-        got = _Collector()
+        collector = _Collector()
         done = False
         try:
             conn.write_headers(httputil.RequestStartLine(method, path, ""), headers, body)
             conn.finish()
-            await conn.read_response(got)
-            done = got.finished
+            await conn.read_response(collector)
+            done = collector.finished
         except (StreamClosedError, OSError, httputil.HTTPInputError) as err:
             raise Unanswered(f"{method} {path}: {err}") from None
         finally:
-            if not done or not got.keep() or len(self._free) >= self.most or stream.closed():
+            if not done or not collector.reusable() or len(self._idle) >= self.most or stream.closed():
                 stream.close()
             else:
                 conn.detach()
                 stream.set_close_callback(None)
-                self._free.append(_Kept(stream, time.monotonic()))
-        if not done or got.headers is None:
+                self._idle.append(_PooledConnection(stream, time.monotonic()))
+        if not done or collector.headers is None:
             raise Unanswered(f"{method} {path}: connection closed")
-        after = got.headers.get("Retry-After")
-        return Reply(got.status, b"".join(got.chunks), float(after) if after and after.isdigit() else None)
+        retry_after = collector.headers.get("Retry-After")
+        delay_s = float(retry_after) if retry_after and retry_after.isdigit() else None
+        return Reply(collector.status, b"".join(collector.chunks), delay_s)
 
     async def request(self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0) -> Reply:
-        """Send one request. Without a complete answer nothing is known about it, and the caller decides."""
+        """Send one request and return its response; `timeout` in s covers connecting and the exchange.
+
+        Raises NotSent if no connection could be opened, else Unanswered if no complete response arrived: then the
+        outcome is unknown, and the caller decides whether to retry.
+        """
         try:
             async with asyncio.timeout(timeout):
-                kept = self._take()
-                if kept is not None:
+                stream = self._take_idle()
+                if stream is not None:
                     try:
-                        return await self._exchange(kept, method, path, body)
+                        return await self._exchange(stream, method, path, body)
                     except Unanswered:
-                        # The other side may have closed an idle connection; a read can simply be repeated.
+                        # The peer may have closed an idle connection; a GET is safe to repeat.
                         if method != "GET":
                             raise
                 return await self._exchange(await self._connect(), method, path, body)
         except TimeoutError:
-            # Kept connections may sit behind the same cut: start afresh next time.
+            # Pooled connections may be behind the same network partition: open new ones next time.
             self.close()
             raise Unanswered(f"{method} {path}: no answer within {timeout:g} s") from None
 
     def close(self) -> None:
-        while self._free:
-            self._free.pop().stream.close()
+        """Close all idle connections."""
+        while self._idle:
+            self._idle.pop().stream.close()
--- a/winglift/net/runtime.py
+++ b/winglift/net/runtime.py
@@ -1,7 +1,8 @@
-"""What a node has of the outside: clocks, chance, connections. Nothing else of this program reads a clock or opens one.
+"""The runtime of a node: clocks, randomness and network connections.
 
-A node's tasks find it in their context, so that several nodes can live in one process, each with its own clocks and its
-own place in a network. `Sockets` is the real one and the default; tests put a simulated one in its place with `enter`.
+All other modules of a node read clocks and open connections through it. It is kept in a context variable, so that
+several nodes can run in one process, each with its own clocks and its own place in a network. `SystemRuntime` is the
+default; tests install a simulated one with `use_runtime`.
 """
 
 from __future__ import annotations
@@ -24,72 +25,98 @@
 
 
 class Requests(Protocol):
-    """HTTP requests to one address, one after the other or several at once."""
+    """HTTP client for one address; requests may run concurrently."""
 
     async def request(self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0) -> Reply:
-        """Raises `NotSent` if it was certainly not carried out, `Unanswered` if nothing is known. `timeout` in s."""
+        """Send one request; `timeout` in s. Raises NotSent if it was certainly not carried out, else Unanswered."""
         ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close all idle connections."""
+        ...
 
 
 class Stream(Protocol):
-    """An open connection of bytes. All but `closed` raise tornado's StreamClosedError once it is closed."""
+    """An open byte stream. All methods but `closed` and `close` raise tornado's StreamClosedError once it is closed."""
 
-    def read_bytes(self, num_bytes: int) -> Awaitable[bytes]: ...
+    def read_bytes(self, num_bytes: int) -> Awaitable[bytes]:
+        """Read exactly `num_bytes` bytes."""
+        ...
 
-    def write(self, data: bytes) -> Awaitable[None]: ...
+    def write(self, data: bytes) -> Awaitable[None]:
+        """Write all of `data`; done once it is handed to the socket."""
+        ...
 
-    def set_nodelay(self, value: bool) -> None: ...
+    def set_nodelay(self, value: bool) -> None:
+        """Switch TCP_NODELAY on or off."""
+        ...
 
-    def closed(self) -> bool: ...
+    def closed(self) -> bool:
+        """Whether the stream is closed."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close the stream."""
+        ...
 
 
 class Server(Protocol):
-    """An HTTP server that listens."""
+    """A listening HTTP server."""
 
-    open: int  # connections of users and workers that are open
+    open: int  # number of open connections of users and workers
 
-    def stop(self) -> None: ...
+    def stop(self) -> None:
+        """Accept no more connections."""
+        ...
 
-    async def close_all_connections(self) -> None: ...
+    async def close_all_connections(self) -> None:
+        """Close the connections that are open."""
+        ...
 
 
 OnStream = Callable[[Any, tuple], Awaitable[None]]
 
 
 class Runtime(Protocol):
+    """Clocks, randomness and network connections of one node."""
+
     def monotonic_time(self) -> float:
-        """Seconds of a clock that never goes back, from an unknown beginning."""
+        """Seconds of a clock that never goes backwards, from an arbitrary origin."""
         ...
 
     def wall_time(self) -> float:
-        """The time of day, seconds since 1970, within `skew_ms` of the true one."""
+        """Wall-clock time in seconds since 1970, within `skew_ms` of the true time."""
         ...
 
-    def random_source(self) -> random.Random: ...
+    def random_source(self) -> random.Random:
+        """A new random generator."""
+        ...
 
     def client(self, host: str, port: int, most: int | None = None) -> Requests:
-        """`most`: connections kept for later requests."""
+        """An HTTP client for one address; `most` is the number of idle connections it keeps."""
         ...
 
-    def serve(self, delegate: HTTPServerConnectionDelegate, host: str, port: int, **limits: Any) -> Server: ...
+    def serve(self, delegate: HTTPServerConnectionDelegate, host: str, port: int, **limits: Any) -> Server:
+        """Start an HTTP server; `limits` are keyword arguments of tornado's HTTPServer."""
+        ...
 
     async def connect(self, host: str, port: int) -> Stream:
-        """Raises OSError or tornado's StreamClosedError; `ConnectionRefusedError` within it if nobody listens."""
+        """Open a connection.
+
+        Raises OSError or tornado's StreamClosedError, which holds a ConnectionRefusedError if nobody listens.
+        """
         ...
 
     def listen(self, host: str, port: int, on_stream: OnStream) -> Callable[[], None]:
-        """Hands each connection to `on_stream`; the answer ends the listening."""
+        """Pass each accepted connection to `on_stream`. Returns a function that stops listening."""
         ...
 
 
 class CountingServer(HTTPServer):
-    """Counts open connections, so that users are refused before the sockets run out, and closes idle ones.
+    """HTTP server that counts open connections and closes idle ones.
 
-    tornado's own way to the latter is a timer and a future per request, a sixth of what a report costs.
+    The count lets the node refuse users before it runs out of sockets. Tornado's own idle timeout needs a timer and a
+    future per request, a sixth of the cost of handling a report.
     """
 
     open = 0
@@ -100,70 +127,83 @@
         idle_connection_timeout: float = math.inf,
         **limits: Any,
     ) -> None:
+        """Set up the server; `idle_connection_timeout` in s, `limits` as for tornado's HTTPServer."""
         super().initialize(*args, **limits)
         self.conn_params.header_timeout = None
         self.idle_s = idle_connection_timeout
-        self.seen: dict[object, float] = {}  # connection: when its latest request was awaited
-        self._sweep: asyncio.TimerHandle | None = None
+        self.waiting_since: dict[object, float] = {}  # monotonic s, by connection
+        self._sweep_timer: asyncio.TimerHandle | None = None
 
     def handle_stream(self, stream: IOStream, address: tuple) -> None:
+        """Count an accepted connection and serve it."""
         self.open += 1
         super().handle_stream(stream, address)
-        self._sweep_later()
+        self._schedule_sweep()
 
     def start_request(self, server_conn: object, request_conn: Any) -> Any:
-        self.seen[server_conn] = time.monotonic()
+        """Note that the connection waits for its next request."""
+        self.waiting_since[server_conn] = time.monotonic()
         return super().start_request(server_conn, request_conn)
 
     def on_close(self, server_conn: object) -> None:
+        """Discount a closed connection."""
         self.open -= 1
-        self.seen.pop(server_conn, None)
+        self.waiting_since.pop(server_conn, None)
         super().on_close(server_conn)
 
-    def _sweep_later(self) -> None:
-        if self._sweep is None and self.open and self.idle_s < math.inf:
-            self._sweep = asyncio.get_running_loop().call_later(self.idle_s / 5, self._close_idle)
+    def _schedule_sweep(self) -> None:
+        if self._sweep_timer is None and self.open and self.idle_s < math.inf:
+            self._sweep_timer = asyncio.get_running_loop().call_later(self.idle_s / 5, self._close_idle)
 
     def _close_idle(self) -> None:
-        """Nobody answers so late, so a connection whose last request was awaited that long ago is idle."""
-        self._sweep = None
-        before = time.monotonic() - self.idle_s
-        for server_conn, when in list(self.seen.items()):
-            if when < before:
+        """Close connections that wait for longer than `idle_s`; no answer takes that long, so they are idle."""
+        self._sweep_timer = None
+        oldest = time.monotonic() - self.idle_s
+        for server_conn, since in list(self.waiting_since.items()):
+            if since < oldest:
                 server_conn.stream.close()  # type: ignore[attr-defined]
-        self._sweep_later()
+        self._schedule_sweep()
+
 
+class _StreamServer(TCPServer):
+    """TCP server that passes each accepted connection to a callback."""
 
-class _Streams(TCPServer):
     def __init__(self, on_stream: OnStream) -> None:
         super().__init__()
         self._on_stream = on_stream
 
     def handle_stream(self, stream: IOStream, address: tuple) -> Awaitable[None]:
+        """Pass on an accepted connection."""
         return self._on_stream(stream, address)
 
 
 class SystemRuntime:
-    """The machine that the process runs on."""
+    """The runtime of the machine that the process runs on."""
 
     def monotonic_time(self) -> float:
+        """Seconds of the system's monotonic clock."""
         return time.monotonic()
 
     def wall_time(self) -> float:
+        """Seconds since 1970 by the system's clock."""
         return time.time()
 
     def random_source(self) -> random.Random:
+        """A generator seeded by the operating system."""
         return random.Random()
 
     def client(self, host: str, port: int, most: int | None = None) -> Requests:
+        """A pooling HTTP client for one address; `most` is the number of idle connections it keeps."""
         return Client(host, port) if most is None else Client(host, port, most)
 
     def serve(self, delegate: HTTPServerConnectionDelegate, host: str, port: int, **limits: Any) -> Server:
+        """Start an HTTP server on `host:port`."""
         server = CountingServer(delegate, **limits)
         server.listen(port, host)
         return server
 
     async def connect(self, host: str, port: int) -> Stream:
+        """Open a TCP connection. Raises OSError or tornado's StreamClosedError."""
         stream = IOStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
         try:
             await stream.connect((host, port))
@@ -173,27 +213,30 @@
         return stream
 
     def listen(self, host: str, port: int, on_stream: OnStream) -> Callable[[], None]:
-        server = _Streams(on_stream)
+        """Listen for TCP connections. Returns a function that stops listening."""
+        server = _StreamServer(on_stream)
         server.listen(port, host)
         return server.stop
 
 
-_here: ContextVar[Runtime] = ContextVar("outside", default=SystemRuntime())  # noqa: B039 (it has no state of its own)
+_current: ContextVar[Runtime] = ContextVar("runtime", default=SystemRuntime())  # noqa: B039 (SystemRuntime is stateless)
 
 
 def current_runtime() -> Runtime:
-    """The outside of the node to which the running code belongs."""
-    return _here.get()
+    """The runtime of the node to which the running code belongs."""
+    return _current.get()
 
 
-def use_runtime(outside: Runtime) -> None:
-    """From now on, code of this context and what it starts sees this outside."""
-    _here.set(outside)
+def use_runtime(runtime: Runtime) -> None:
+    """Install a runtime for the current context and for the tasks that it starts from now on."""
+    _current.set(runtime)
 
 
 def monotonic_time() -> float:
-    return _here.get().monotonic_time()
+    """Seconds of the current runtime's monotonic clock."""
+    return _current.get().monotonic_time()
 
 
 def wall_time() -> float:
-    return _here.get().wall_time()
+    """Seconds since 1970 by the current runtime's clock."""
+    return _current.get().wall_time()
--- a/winglift/node.py
+++ b/winglift/node.py
@@ -1,4 +1,4 @@
-"""One controller node: its servers, its clients, and the leader's work while it leads."""
+"""One controller node: its servers and clients, and the leader's work while it leads."""
 
 from __future__ import annotations
 
@@ -25,25 +25,29 @@
 from .wire import peer as peer_messages
 from .wire.cloud import MachineType
 from .workers.cancellation_enforcement import CancellationEnforcer
-from .workers.partition_detector import PartitionState as Stranding
+from .workers.partition_detector import PartitionState
 from .workers.reports import ReportHandler
 
 log = logging.getLogger(__name__)
 
 
 class Extension(Protocol):
-    """Something that a node serves beside its jobs. It is told of the node's role and gives routes of its own."""
+    """A service that a node runs beside its jobs. It adds HTTP routes and follows the node's role."""
 
-    def routes(self) -> list[tuple]: ...
+    def routes(self) -> list[tuple]:
+        """The tornado routes to add to the node's application."""
+        ...
 
-    def lead(self, controller: LeaderTerm) -> None:
-        """This node leads from now on."""
+    def lead(self, leader_term: LeaderTerm) -> None:
+        """Called when this node has become the leader."""
 
     def follow(self) -> None:
-        """It leads no more: nothing may be written for this term."""
+        """Called when this node has ceased to lead: nothing may be written for that term any more."""
 
 
 class Node:
+    """A controller node: it answers users and workers, and runs the leader's work while it holds the lease."""
+
     def __init__(self, settings: Settings, script: Script | None = None) -> None:
         self.settings = settings
         self.script = script or Script()
@@ -51,7 +55,7 @@
         self.state = StateClient(*parse_addr(settings.services.state, "services.state"), params.state, params.nodes)
         self.cloud = CloudClient(*parse_addr(settings.services.cloud, "services.cloud"), params.cloud, params.nodes)
         self.types: dict[str, MachineType] = {}
-        self.withdrawn_types: dict[str, MachineType] = {}  # offered before, and not now
+        self.withdrawn_types: dict[str, MachineType] = {}  # offered earlier, but not at present
         self.leader_term: LeaderTerm | None = None
         self.election = Election(self.state, settings.node, self._on_change)
         self.cloud.may_change = lambda: self.leader_term is not None and self.leader_term.may_use_cloud()
@@ -61,8 +65,8 @@
         self.peers = PeerConnections(
             settings.node,
             settings.seeds,
-            self._mine,
-            self._on_relay,
+            self._own_state,
+            self._on_forwarded_report,
             self._on_job,
             self._on_peer,
             self._on_gone,
@@ -85,54 +89,60 @@
         self._extensions: list[Extension] = []
 
     def extend(self, extension: Extension) -> None:
-        """Serve something more; before `run`."""
+        """Register an extension; to be called before `run`."""
         self._extensions.append(extension)
 
-    # -- what the parts ask --------------------------------------------------------------------
+    # -- callbacks of the parts ----------------------------------------------------------------
 
-    def _mine(self) -> peer_messages.PeerState:
-        # A leader in doubt goes on listening: reports that others hand over tell it who is alive.
+    def _own_state(self) -> peer_messages.PeerState:
+        """What this node tells its peers about itself."""
+        # A leader in doubt still counts as one: from the reports that others forward it learns who is alive.
         leads = self.leader_term is not None and self.election.leadership.role in (Role.LEADER, Role.DOUBTFUL)
         return peer_messages.PeerState(self.known_term(), leads, self.state.health() is Health.GOOD, self.settings.node)
 
     def known_term(self) -> int:
+        """The highest leadership term that this node knows of."""
         return max(self.election.known_term, self.election.leadership.term, self.peers.term())
 
-    def _on_relay(self, body: bytes) -> tuple[int, bytes]:
+    def _on_forwarded_report(self, body: bytes) -> tuple[int, bytes]:
         return self.reports.relayed(body)
 
     def _on_job(self, note: peer_messages.JobNote) -> int:
-        """A record that another node knows: 200 if this one sees to it as the leader, 202 if it knows it now."""
+        """Take a committed record from a peer: 200 if this node handles it as the leader, 202 if it only stored it."""
         try:
             record = records.decode(note.record)
-            self._take_job(note.ref, note.version, record)
+            self._apply_to_leader_term(note.ref, note.version, record)
             self.cancellation_enforcer.add_record(note.ref, note.version, record)
         except records.InvalidRecord as err:
-            log.warning("back link: %s", err)
+            log.warning("job record: from a peer, unreadable: ref=%r error=%s", note.ref, err)
             return 400
         return 200 if self.handles_cancellation(note.ref) else 202
 
     def _on_record_seen(self, ref: str, version: int, record: records.JobRecord) -> None:
-        """A record as users are told of it here. A cancellation that they are told is this node's to see to."""
+        """Called with each record reported to a user here. This node enforces a cancellation that it has reported."""
         if self.cancellation_enforcer.add_record(ref, version, record):
-            self._take_job(ref, version, record)
+            self._apply_to_leader_term(ref, version, record)
 
-    def _take_job(self, ref: str, version: int, record: records.JobRecord) -> None:
+    def _apply_to_leader_term(self, ref: str, version: int, record: records.JobRecord) -> None:
         if self.leader_term is not None and self.leader_term.loaded:
             self.leader_term.apply_record(ref, version, record)
 
-    # -- what seeing to ends asks --------------------------------------------------------------
+    # -- host of the CancellationEnforcer -------------------------------------------------------
 
     def leader_by_record(self) -> str:
+        """The leader's name according to the state service, or an empty text."""
         return self.election.known_leader
 
     def handles_cancellation(self, ref: str) -> bool:
+        """Whether this node leads and enforces the cancellation of this job."""
         return self.leader_term is not None and self.leader_term.handles_cancellation(ref)
 
     def has_cleared_job(self, ref: str) -> bool:
+        """Whether this node leads and knows that no machine runs tasks of this job any more."""
         return self.leader_term is not None and self.leader_term.has_cleared_job(ref)
 
     def on_machines_deleted(self, machines: list[str]) -> None:
+        """Called after the CancellationEnforcer has deleted machines; the leader's work takes note."""
         if self.leader_term is not None:
             self.leader_term.on_machines_deleted_elsewhere(machines)
 
@@ -142,63 +152,68 @@
             self.election.step_down(f"{state.node} knows term {state.term}")
 
     def _on_gone(self, node: str) -> None:
-        """A peer's process seems to have ended. If it led, its lease need not be waited for.
+        """Called when a peer refuses connections, so that its process seems to have ended.
 
-        A filter between nodes refuses connections too: a node that it cut off from all others once ended a sound
-        leader's lease, led deaf, and deleted 16 machines. So a node does this only while another one is in reach.
+        If it led, its lease is expired early. But a packet filter between nodes refuses connections too: a node that
+        was partitioned from all others once expired a healthy leader's lease, led without hearing any worker, and
+        deleted 16 machines. So a node does this only while it is connected to another peer.
         """
         peer = self.peers.by_node[node]
         if peer.last_state is not None and peer.last_state.leads and self.peers.connected(but=node):
             asyncio.ensure_future(self.election.expire_lease_of(node))
 
     def _on_record(self, ref: str, version: int, record: records.JobRecord) -> None:
-        """This node has committed a change of a job: the leader hears of it at once."""
+        """Called after this node has committed a change of a job: the leader is notified at once."""
         if self.leader_term is not None:
-            self._take_job(ref, version, record)
+            self._apply_to_leader_term(ref, version, record)
         elif record.state != JobState.CANCELLED.value or not record.assignments:
             self.peers.notify_leader(peer_messages.JobNote(version, ref, records.encode(record)))
-        # A cancellation with places is told to all nodes, and to each until it has it.
+        # A cancellation with assigned tasks is sent to all nodes, and repeated to each until it acknowledges.
         self.cancellation_enforcer.add_record(ref, version, record)
         self.jobs.remember_end(ref, status_of(record, ref))
 
     def not_up(self) -> str | None:
-        """Why this node can't serve requests, or None. In an outage that all nodes share, it is as good as any."""
+        """The reason why this node can't serve requests, or None if it can.
+
+        In an outage that all nodes share it counts as up, since no other node serves better.
+        """
         now = monotonic_time()
         if not self.types and now - self._began < constants.STARTUP_GRACE_S:
             return "machine types are not known yet"
         if self.state.health() is Health.DOWN and self.peers.state_works_elsewhere(now):
             return "the state service refuses this node"
-        # A node that hears neither the state service nor any other node may be as good as any, or cut off alone: its
-        # workers tell, by finding others or by being silent.
-        quiet_s = now - max(self._began, self.reports.heard_at)
+        # A node that reaches neither the state service nor any peer may share an outage with all nodes, or be
+        # partitioned alone. Its workers show which: they find other nodes, or stay silent.
+        silent_s = now - max(self._began, self.reports.heard_at)
         if (
             self.settings.seeds
             and not self.hears_others()
             and (
-                self.reports.partition_detector.state is Stranding.REDIRECTING
-                or quiet_s > self.settings.settings.workers.lease_s
+                self.reports.partition_detector.state is PartitionState.REDIRECTING
+                or silent_s > self.settings.settings.workers.lease_s
             )
         ):
             return "neither the state service nor any node is in reach"
         return None
 
     def hears_others(self) -> bool:
+        """Whether the state service or any peer has answered this node lately."""
         return self.state.health() is not Health.DOWN or self.peers.hears_anyone(monotonic_time())
 
     def leader_elsewhere(self) -> str | None:
-        """The node that leads by the state service's word, if this one can't hand it any report; None otherwise."""
+        """The leader according to the state service if this node can't forward reports to it; None otherwise."""
         if self.leader_term is not None or self.peers.leader(monotonic_time()) is not None:
             return None
         name = self.election.known_leader
         return name if name in self.peers.by_node and self.state.health() is Health.GOOD else None
 
     def crowded(self) -> bool:
-        """Are so many connections open that reports, peers and the services might soon find no socket?"""
+        """Whether so many connections are open that reports, peers and services might soon get no socket."""
         limit = self.settings.settings.machine_limits.sockets * constants.SOCKET_SHARE
         return self._server is not None and self._server.open > limit
 
     def _on_change(self) -> None:
-        """The role has changed: begin or end the leader's work."""
+        """Called when the role has changed: start or stop the leader's work."""
         if self.election.leadership.role is Role.LEADER:
             self.leader_term = LeaderTerm(
                 self.settings, self.state, self.cloud, self.election, self.types, self.peers, self.script
@@ -223,41 +238,46 @@
     async def _keep_types(self) -> None:
         while True:
             try:
-                found = await self.cloud.types()
-                self._take_types(found)
+                offered = await self.cloud.types()
+                self._update_types(offered)
                 for machine in self.leader_term.cluster.machines.values() if self.leader_term else ():
-                    machine.type = found.get(machine.type_name, machine.type)
+                    machine.type = offered.get(machine.type_name, machine.type)
             except CloudError as err:
-                log.info("machine types: %s", err)
+                log.info("machine types: request failed: error=%s", err)
             await asyncio.sleep(constants.TYPES_EVERY_S if self.types else constants.CLOUD_PAUSE_S)
 
-    def _take_types(self, found: dict[str, MachineType]) -> None:
-        gone = {name: t for name, t in (self.withdrawn_types | self.types).items() if name not in found}
-        for name in gone.keys() - self.withdrawn_types.keys():
-            log.info("the cloud no longer offers %s: none is rented, those that run go on", name)
-        self.withdrawn_types = gone
+    def _update_types(self, offered: dict[str, MachineType]) -> None:
+        known = self.withdrawn_types | self.types
+        withdrawn = {name: machine_type for name, machine_type in known.items() if name not in offered}
+        for name in withdrawn.keys() - self.withdrawn_types.keys():
+            log.info("machine type: withdrawn, none is rented, running machines stay: type=%s", name)
+        self.withdrawn_types = withdrawn
         self.types.clear()
-        self.types.update(found)
+        self.types.update(offered)
 
     async def run(self) -> None:
-        front = ReportFastPath(
-            application(self, [r for e in self._extensions for r in e.routes()]), self.reports.handle
-        )
+        """Listen for users, workers and peers and run until cancelled. Raises OSError if an address is in use."""
+        extension_routes = [route for extension in self._extensions for route in extension.routes()]
         self._server = current_runtime().serve(
-            front,
+            ReportFastPath(application(self, extension_routes), self.reports.handle),
             *parse_addr(self.settings.client_listen, "client_listen"),
             max_body_size=constants.MAX_BODY,
             idle_connection_timeout=constants.IDLE_CONNECTION_S,
         )
         self.peers.start(*parse_addr(self.settings.back, "back"))
-        log.info("node %s in %s listens on %s", self.settings.node, self.settings.zone, self.settings.client_listen)
-        # What start-up has built lives on: the collector need not look at it again.
+        log.info(
+            "node: listening: node=%s zone=%s address=%s",
+            self.settings.node,
+            self.settings.zone,
+            self.settings.client_listen,
+        )
+        # Objects built at start-up live for good: the garbage collector need not scan them again.
         gc.collect()
         gc.freeze()
         await asyncio.gather(self._keep_types(), self.election.run(), self.cancellation_enforcer.run())
 
     def stop(self) -> None:
-        """End at once, as a kill would: for programs that embed a node, and for tests."""
+        """Stop at once, as a kill would; for programs that embed a node, and for tests."""
         self._end_leading()
         if self._server is not None:
             self._server.stop()
