--- a/tests/golden_examples.py
+++ b/tests/golden_examples.py
@@ -278,16 +278,16 @@
 # Name in the golden file: type, request number, body as it is packed, what it says, its reader and its writer.
 FRAMES: dict[str, Frame] = {
     "state": (
-        peer_messages.FrameType.STATE,
+        peer_messages.FrameType.PEER_STATE,
         0,
         peer_messages.pack_state(PEER),
         PEER,
         peer_messages.parse_state,
         peer_messages.pack_state,
     ),
-    "relay": (peer_messages.FrameType.RELAY, 7, RELAYED_REPORT, RELAYED_REPORT, same, same),
+    "relay": (peer_messages.FrameType.FORWARDED_REPORT, 7, RELAYED_REPORT, RELAYED_REPORT, same, same),
     "relayed": (
-        peer_messages.FrameType.RELAYED,
+        peer_messages.FrameType.FORWARDED_ANSWER,
         7,
         peer_messages.pack_answer(421, b"{}"),
         (421, b"{}"),
@@ -295,7 +295,7 @@
         lambda answer: peer_messages.pack_answer(*answer),
     ),
     "job": (
-        peer_messages.FrameType.JOB,
+        peer_messages.FrameType.JOB_RECORD,
         2**32 - 1,
         peer_messages.pack_job(NOTE),
         NOTE,
@@ -303,7 +303,7 @@
         peer_messages.pack_job,
     ),
     "fleet": (
-        peer_messages.FrameType.FLEET,
+        peer_messages.FrameType.FLEET_SUMMARY,
         0,
         peer_messages.pack_fleet(FLEET)[0],
         FLEET,
@@ -311,7 +311,7 @@
         lambda fleet: peer_messages.pack_fleet(fleet)[0],
     ),
     "proofs": (
-        peer_messages.FrameType.PROOFS,
+        peer_messages.FrameType.CANCELLATION_PROOFS,
         0,
         peer_messages.pack_proofs(PROOFS),
         PROOFS,
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -244,7 +244,7 @@
         if name != old:
 
             def ask(peer, kind, body, done, node=node, usual=node.peers._ask):
-                if kind is peer_messages.FrameType.JOB and peer.seed.node == old:
+                if kind is peer_messages.FrameType.JOB_RECORD and peer.seed.node == old:
                     told.append(1)
                     usual(peer, kind, body, lambda answer: done(None))
                 else:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -106,7 +106,7 @@
         await asyncio.sleep(0.1)
         number = peer_messages.parse_header(wire.written[1][: peer_messages.HEADER.size]).request
         answers = [
-            peer_messages.frame(peer_messages.FrameType.RELAYED, n, peer_messages.pack_answer(200, b"yes"))
+            peer_messages.frame(peer_messages.FrameType.FORWARDED_ANSWER, n, peer_messages.pack_answer(200, b"yes"))
             for n in (number, number)
         ]
 
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -70,7 +70,7 @@
             and len(message.body) >= peer_messages.HEADER.size
             and (
                 peer_messages.parse_header(message.body[: peer_messages.HEADER.size]).type
-                is peer_messages.FrameType.JOB
+                is peer_messages.FrameType.JOB_RECORD
             )
         ):
             return "drop"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -74,9 +74,9 @@
 @given(st.integers(0, 2**64 - 1), st.text(max_size=20), st.binary(max_size=200))
 def test_job_frames_survive(version, ref, record):
     note = peer_messages.JobNote(version, ref, record)
-    data = peer_messages.frame(peer_messages.FrameType.JOB, 7, peer_messages.pack_job(note))
+    data = peer_messages.frame(peer_messages.FrameType.JOB_RECORD, 7, peer_messages.pack_job(note))
     header = peer_messages.parse_header(data[: peer_messages.HEADER.size])
-    assert (header.type, header.request) == (peer_messages.FrameType.JOB, 7)
+    assert (header.type, header.request) == (peer_messages.FrameType.JOB_RECORD, 7)
     assert peer_messages.parse_job(data[peer_messages.HEADER.size :][: header.length]) == note
 
 
@@ -102,7 +102,7 @@
     )
     body, left_out = peer_messages.pack_fleet(fleet)
     assert (
-        len(peer_messages.frame(peer_messages.FrameType.FLEET, 0, body))
+        len(peer_messages.frame(peer_messages.FrameType.FLEET_SUMMARY, 0, body))
         <= peer_messages.MAX_FRAME + peer_messages.HEADER.size
     )
     told = peer_messages.parse_fleet(body)
--- a/winglift/cluster/peer_connections.py
+++ b/winglift/cluster/peer_connections.py
@@ -114,22 +114,24 @@
         try:
             while True:
                 header, body = await self._read(stream)
-                if header.type is peer_messages.FrameType.STATE:
+                if header.type is peer_messages.FrameType.PEER_STATE:
                     self._heard(peer_messages.parse_state(body))
-                elif header.type is peer_messages.FrameType.JOB:
+                elif header.type is peer_messages.FrameType.JOB_RECORD:
                     status = self._on_job(peer_messages.parse_job(body))
                     if header.request:
                         stream.write(
                             peer_messages.frame(
-                                peer_messages.FrameType.RELAYED, header.request, peer_messages.pack_answer(status, b"")
+                                peer_messages.FrameType.FORWARDED_ANSWER,
+                                header.request,
+                                peer_messages.pack_answer(status, b""),
                             )
                         )
-                elif header.type is peer_messages.FrameType.PROOFS:
+                elif header.type is peer_messages.FrameType.CANCELLATION_PROOFS:
                     self._on_proofs(peer_messages.parse_proofs(body))
-                elif header.type is peer_messages.FrameType.FLEET:
+                elif header.type is peer_messages.FrameType.FLEET_SUMMARY:
                     # Read only by who leads next: at 970 machines reading each word took a tenth of a follower's work.
                     self._fleet, self.fleet_at = body, monotonic_time()
-                elif header.type is peer_messages.FrameType.RELAY:
+                elif header.type is peer_messages.FrameType.FORWARDED_REPORT:
                     try:
                         status, answer = self._on_relay(body)
                     except Exception:
@@ -139,7 +141,9 @@
                     # Not waited for: the next report is read meanwhile, and a closed stream ends the loop.
                     stream.write(
                         peer_messages.frame(
-                            peer_messages.FrameType.RELAYED, header.request, peer_messages.pack_answer(status, answer)
+                            peer_messages.FrameType.FORWARDED_ANSWER,
+                            header.request,
+                            peer_messages.pack_answer(status, answer),
                         )
                     )
         except StreamClosedError:
@@ -201,7 +205,7 @@
                             await asyncio.shield(
                                 stream.write(
                                     peer_messages.frame(
-                                        peer_messages.FrameType.STATE, 0, peer_messages.pack_state(self._mine())
+                                        peer_messages.FrameType.PEER_STATE, 0, peer_messages.pack_state(self._mine())
                                     )
                                 )
                             )
@@ -230,7 +234,9 @@
                 waits = peer.waiting.pop(header.request, None)
                 if waits is not None:
                     waits[1](
-                        peer_messages.parse_answer(body) if header.type is peer_messages.FrameType.RELAYED else None
+                        peer_messages.parse_answer(body)
+                        if header.type is peer_messages.FrameType.FORWARDED_ANSWER
+                        else None
                     )
         except StreamClosedError:
             pass
@@ -244,7 +250,7 @@
 
         Without a task and a timer of its own: with 400 reports a second they were a sixth of a follower's work.
         """
-        self._ask(peer, peer_messages.FrameType.RELAY, report, done)
+        self._ask(peer, peer_messages.FrameType.FORWARDED_REPORT, report, done)
 
     def announce_record(self, peer: Peer, note: peer_messages.JobNote, done: OnAnswer) -> None:
         """Tell a node of a record and hear whether it has it: 200, it sees to it as the leader; 202, it knows."""
@@ -253,7 +259,7 @@
             peer.answers = peer.answers or answer is not None
             done(answer)
 
-        self._ask(peer, peer_messages.FrameType.JOB, peer_messages.pack_job(note), heard)
+        self._ask(peer, peer_messages.FrameType.JOB_RECORD, peer_messages.pack_job(note), heard)
 
     def announce_proofs(self, proofs: list[tuple[str, str]]) -> None:
         """To those that know such a frame: it would end the link to an earlier version, each time anew."""
@@ -261,7 +267,7 @@
             for at in range(0, len(proofs) if peer.answers else 0, constants.CANCELLATION_PROOFS_MAX):
                 self._tell(
                     peer,
-                    peer_messages.FrameType.PROOFS,
+                    peer_messages.FrameType.CANCELLATION_PROOFS,
                     peer_messages.pack_proofs(proofs[at : at + constants.CANCELLATION_PROOFS_MAX]),
                 )
 
@@ -308,7 +314,7 @@
         """A hint that spares the leader the wait for its watch. Loss does no harm."""
         peer = self.leader(monotonic_time())
         if peer is not None:
-            self._tell(peer, peer_messages.FrameType.JOB, peer_messages.pack_job(note))
+            self._tell(peer, peer_messages.FrameType.JOB_RECORD, peer_messages.pack_job(note))
 
     @property
     def fleet(self) -> peer_messages.Fleet:
@@ -333,7 +339,7 @@
             )
         self._left_out = left_out
         for peer in self.by_node.values():
-            self._tell(peer, peer_messages.FrameType.FLEET, body)
+            self._tell(peer, peer_messages.FrameType.FLEET_SUMMARY, body)
 
     @staticmethod
     def _tell(peer: Peer, kind: peer_messages.FrameType, body: bytes) -> None:
--- a/winglift/wire/cloud.py
+++ b/winglift/wire/cloud.py
@@ -1,4 +1,4 @@
-"""Messages between controllers and the cloud."""
+"""Messages between controller nodes and the cloud (PROTOCOL, "Controller nodes -> cloud")."""
 
 from __future__ import annotations
 
@@ -36,34 +36,34 @@
 class Types(msgspec.Struct, frozen=True, rename={"types": "rigTypes"}):
     """Answer of GET /flavors."""
 
-    types: list[msgspec.Raw]  # each by itself: one that can't be read must not hide the others
+    types: list[msgspec.Raw]  # decoded one by one: a malformed type must not hide the others
 
 
 _type = msgspec.json.Decoder(MachineType)
 
 
 def machine_type(raw: msgspec.Raw) -> MachineType:
-    """One type of the cloud's answer. ValueError, naming it, where nothing could run on such a machine."""
+    """Decode one machine type. Raises ValueError that names it if it is malformed or could run nothing."""
     try:
-        found = _type.decode(raw)
+        decoded = _type.decode(raw)
     except msgspec.DecodeError as err:
         raise ValueError(f"{bytes(raw)[:60]!r}: {err}") from None
-    for field, value in (("cpus", found.cpus), ("memGb", found.memory_gb)):
+    for field, value in (("cpus", decoded.cpus), ("memGb", decoded.memory_gb)):
         if value <= 0:
-            raise ValueError(f"{found.name}: {field} is {value:g}")
+            raise ValueError(f"{decoded.name}: {field} is {value:g}")
     for field, value in (
-        ("gpus", found.gpus),
-        ("hourly", found.price),
-        ("spotPrice", found.spot_price or 0.0),
-        ("cacheGb", found.cache_gb),
-        ("pullGbPerS", found.fetch_gb_per_s),
-        ("bootS", found.boot_s),
+        ("gpus", decoded.gpus),
+        ("hourly", decoded.price),
+        ("spotPrice", decoded.spot_price or 0.0),
+        ("cacheGb", decoded.cache_gb),
+        ("pullGbPerS", decoded.fetch_gb_per_s),
+        ("bootS", decoded.boot_s),
     ):
         if value < 0:
-            raise ValueError(f"{found.name}: {field} is {value:g}")
-    if not found.zones:
-        raise ValueError(f"{found.name}: halls is empty")
-    return found
+            raise ValueError(f"{decoded.name}: {field} is {value:g}")
+    if not decoded.zones:
+        raise ValueError(f"{decoded.name}: halls is empty")
+    return decoded
 
 
 class Rent(
@@ -105,7 +105,7 @@
         "age_s": "ageS",
     },
 ):
-    """One machine of a list."""
+    """One machine in a Listing; `age_s` in s."""
 
     name: str
     addr: str = ""
--- a/winglift/wire/flows.py
+++ b/winglift/wire/flows.py
@@ -1,6 +1,6 @@
-"""Workflows: the plan a client makes of CWL files, what nodes answer about it, and what workers are told and tell.
+"""Messages about workflows: the plan made from CWL files, nodes' answers, and workers' tasks and results.
 
-A plan holds processes by name, already checked and without references to files. Types are normalised: a name
+A plan holds processes by name, checked and without references to files. Types are normalised: a name
 ("null", "boolean", "int", "long", "float", "double", "string", "File", "Directory", "Any"), a list (one of them),
 {"array": T}, {"enum": [names]} or {"record": {field: T}}. A file's content travels by its SHA-256.
 """
@@ -17,11 +17,13 @@
 
 FLOW = re.compile(r"fl-[0-9]{1,20}\Z")
 DIGEST = re.compile(r"[0-9a-f]{64}\Z")
-UPLOAD = "sha256:"  # begins the location of a file whose content is an upload
-BASE = "/winglift-task"  # stands for a task's folder until a worker has one: in, out and tmp lie below it
+UPLOAD = "sha256:"  # prefix of the location of a file whose content is an upload
+BASE = "/winglift-task"  # placeholder for a task's directory until a worker creates it; contains in, out and tmp
 
 
 class FlowState(StrEnum):
+    """The state of a workflow."""
+
     OPEN = "open"
     DONE = "done"
     FAILED = "failed"
@@ -37,6 +39,8 @@
 
 
 class Binding(msgspec.Struct, frozen=True, omit_defaults=True):
+    """How a value becomes command-line arguments (CWL CommandLineBinding)."""
+
     position: int | str = 0
     prefix: str | None = None
     separate: bool = True
@@ -57,6 +61,8 @@
 
 
 class Output(msgspec.Struct, frozen=True, omit_defaults=True):
+    """An output of a tool: the files that match `glob`, or the value of the expression `evaluate`."""
+
     name: str
     type: Any
     glob: list[str] = []
@@ -65,14 +71,14 @@
 
 
 class Staged(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A file of InitialWorkDirRequirement: `entry` is its content, or an expression for a file or a list of them."""
+    """A file of InitialWorkDirRequirement: `entry` is its content, or an expression that yields files."""
 
     entry: str
     name: str | None = None
 
 
 class Hints(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a step may say of itself beyond CWL."""
+    """Scheduling hints of a step, which CWL has no terms for; None: not given. Times in s, sizes in GB."""
 
     team: str | None = None
     priority: str | None = None
@@ -85,12 +91,14 @@
     image_gb: float | None = None
 
     def over(self, other: Hints) -> Hints:
-        """These, and the other's where these say nothing."""
+        """These hints, completed by those of `other` where they are not given."""
         mine = {f: v for f in self.__struct_fields__ if (v := getattr(self, f)) is not None}
         return msgspec.structs.replace(other, **mine)
 
 
 class Tool(msgspec.Struct, frozen=True, omit_defaults=True, tag="tool"):
+    """A CWL CommandLineTool. Amounts are numbers or expressions; memory in GB, `time_s` in s (0: no limit)."""
+
     inputs: list[Param]
     outputs: list[Output]
     base: list[str] = []
@@ -112,6 +120,8 @@
 
 
 class Expression(msgspec.Struct, frozen=True, omit_defaults=True, tag="expression"):
+    """A CWL ExpressionTool."""
+
     inputs: list[Param]
     outputs: list[Output]
     expression: str
@@ -120,9 +130,11 @@
 
 
 class StepInput(msgspec.Struct, frozen=True, omit_defaults=True):
+    """An input of a step: where its value comes from and how several sources are merged."""
+
     name: str
     source: list[str] = []  # "input" or "step/output"
-    several: bool = False  # the source is a list, even of one
+    several: bool = False  # the source is a list, even if it has one element
     merge: str = "merge_nested"
     pick: str | None = None
     default: Any = None
@@ -131,6 +143,8 @@
 
 
 class Step(msgspec.Struct, frozen=True, omit_defaults=True):
+    """A step of a workflow: a call of the process `run`, perhaps scattered over inputs."""
+
     name: str
     run: str
     inputs: list[StepInput]
@@ -142,6 +156,8 @@
 
 
 class FlowOutput(msgspec.Struct, frozen=True, omit_defaults=True):
+    """An output of a workflow, taken from its steps or inputs."""
+
     name: str
     type: Any
     source: list[str] = []
@@ -151,6 +167,8 @@
 
 
 class Workflow(msgspec.Struct, frozen=True, omit_defaults=True, tag="workflow"):
+    """A CWL Workflow: steps that depend on one another through their inputs."""
+
     inputs: list[Param]
     outputs: list[FlowOutput]
     steps: list[Step]
@@ -163,12 +181,14 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
+    """All processes of a workflow by name; `main` is the one to run."""
+
     main: str
     processes: dict[str, Process]
 
 
 class FlowSubmission(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """`plan` and `order` name uploads by their SHA-256; `reuse` an earlier workflow of the same team."""
+    """Body of POST /flows. `plan` and `order` are SHA-256 of uploads; `reuse` an earlier workflow of the team."""
 
     ref: str
     team: str
@@ -179,6 +199,8 @@
 
 
 class StepReply(msgspec.Struct, frozen=True, omit_defaults=True):
+    """The state of one step in a FlowReply; `tasks` and `done` count its tasks."""
+
     path: str
     state: str  # waiting, running, done, skipped, failed
     tasks: int = 1
@@ -187,7 +209,7 @@
 
 
 class FlowReply(msgspec.Struct, frozen=True, omit_defaults=True):
-    """`steps` come in pages; `next` is where the next one begins."""
+    """The state of a workflow. `steps` is one page; `next` is the index at which the next page starts."""
 
     ref: str
     state: FlowState
@@ -202,25 +224,25 @@
 
 
 class FlowList(msgspec.Struct, frozen=True):
-    """`files`: address of the store of uploads."""
+    """A list of workflows; `more`: it is cut off; `files`: address of the upload store."""
 
     flows: list[FlowReply]
     more: bool = False
     files: str = ""
 
 
-# -- what workers are told and tell: by way of the store of uploads --------------------------------
+# -- tasks and results of workers, exchanged through the upload store ----------------------------
 
 
 class Fetch(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A file to lie at `path` (below BASE) before the command starts; a folder where there is no digest."""
+    """A file to create at `path` (below BASE) before the command starts; a directory if `digest` is None."""
 
     path: str
     digest: str | None = None
 
 
 class Work(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One task's command. `outputs` are looked for once it has ended."""
+    """One task's command. `outputs` are collected once it has exited; `time_s` is its time limit in s (0: none)."""
 
     command: list[str]
     env: dict[str, str] = {}
@@ -234,7 +256,7 @@
 
 
 class Found(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a command left: per output the files and folders found, or the object of cwl.output.json."""
+    """The result of a command: files by output, or in `whole` the object of cwl.output.json."""
 
     machine: str
     attempt: int
@@ -247,11 +269,15 @@
 
 
 class FoundItem(msgspec.Struct, frozen=True):
+    """The result of the task with this number."""
+
     number: int
     found: Found
 
 
 class FoundPage(msgspec.Struct, frozen=True):
+    """One page of results; `more`: others follow."""
+
     items: list[FoundItem]
     more: bool = False
 
@@ -265,11 +291,12 @@
 
 
 def is_flow(text: str) -> bool:
+    """Whether the text has the form of a workflow id."""
     return FLOW.match(text) is not None
 
 
 def parse_submission(body: bytes) -> FlowSubmission:
-    """Decode and check; raises Invalid naming the field at fault."""
+    """Decode and check a submission. Raises Invalid that names the field."""
     try:
         sub = submissions.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
@@ -289,7 +316,7 @@
 
 
 def parse_plan(body: bytes) -> Plan:
-    """Decode a plan and check that its parts name one another rightly; raises Invalid with the place."""
+    """Decode a plan and check its references between processes and steps. Raises Invalid that names the place."""
     try:
         plan = plans.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
@@ -315,4 +342,5 @@
 
 
 def encode(value: Any) -> bytes:
+    """Encode a message as JSON."""
     return msgspec.json.encode(value)
--- a/winglift/wire/peer.py
+++ b/winglift/wire/peer.py
@@ -1,6 +1,7 @@
-"""Frames of the link between controllers: packed by hand with struct.
+"""Frames of the connections between controller nodes (PROTOCOL, "Controller nodes <-> controller nodes").
 
-A frame is a header (magic, type, request number, body length) and a body. Numbers are big-endian.
+A frame is a header (magic, type, request number, body length) and a body, packed with struct. Numbers are
+big-endian.
 """
 
 from __future__ import annotations
@@ -20,35 +21,35 @@
 
 
 class FrameType(IntEnum):
-    """What a frame between two nodes holds."""
+    """What a frame between two nodes carries."""
 
-    STATE = 1  # what a node knows: term, whether it leads, whether the state service answers it
-    RELAY = 2  # a worker's report, handed to the leader
-    RELAYED = 3  # the leader's answer to it
-    JOB = 4  # a job record that is committed; with a request number it is answered (RELAYED)
-    FLEET = 5  # what only the leader knows of machines, for those that may follow it
-    PROOFS = 6  # which machines are proven free of which cancelled jobs
+    PEER_STATE = 1  # a node's term, whether it leads, whether the state service answers it
+    FORWARDED_REPORT = 2  # a worker's report, forwarded to the leader
+    FORWARDED_ANSWER = 3  # the leader's answer to it
+    JOB_RECORD = 4  # a committed job record; with a request number it is acknowledged by a FORWARDED_ANSWER
+    FLEET_SUMMARY = 5  # what only the leader knows of machines, for nodes that may lead after it
+    CANCELLATION_PROOFS = 6  # which machines are proven to run no tasks of which cancelled jobs
 
 
 _KNOWN = frozenset(int(kind) for kind in FrameType)
 
 
 class BadFrame(ValueError):
-    """A frame that no sound peer would send."""
+    """A malformed frame, which no correct peer sends."""
 
 
 @dataclass(frozen=True, slots=True)
 class Header:
-    """The head of a frame: type, number of the request, length of the body."""
+    """The header of a frame: type, request number (0: no answer is expected), length of the body in bytes."""
 
-    type: FrameType | None  # None: one that a later version sends; its body is passed over
+    type: FrameType | None  # None: a type of a later version, whose body is skipped
     request: int
     length: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerState:
-    """What a node says of itself every PEER_STATE_INTERVAL_S."""
+    """A node's state, sent every PEER_STATE_INTERVAL_S."""
 
     term: int
     leads: bool
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobNote:
-    """A committed job record, told to another node."""
+    """A committed job record, sent to another node."""
 
     version: int
     ref: str
@@ -66,14 +67,14 @@
 
 
 def frame(kind: FrameType, request: int, body: bytes) -> bytes:
-    """A whole frame. Raises BadFrame if the body is too long."""
+    """Header and body of a frame. Raises BadFrame if the body is longer than MAX_FRAME."""
     if len(body) > MAX_FRAME:
         raise BadFrame("body too long")
     return HEADER.pack(MAGIC, kind, request, len(body)) + body
 
 
 def parse_header(data: bytes) -> Header:
-    """The head of a frame. Raises BadFrame."""
+    """Parse a frame's header. Raises BadFrame."""
     if len(data) != HEADER.size:
         raise BadFrame("short header")
     magic, kind, request, length = HEADER.unpack(data)
@@ -83,12 +84,12 @@
 
 
 def pack_state(state: PeerState) -> bytes:
-    """The body of a STATE frame."""
+    """Encode the body of a PEER_STATE frame."""
     return _STATE.pack(state.term, state.leads, state.state_ok) + state.node.encode()
 
 
 def parse_state(body: bytes) -> PeerState:
-    """The reverse of `pack_state`. Raises BadFrame."""
+    """Decode the body of a PEER_STATE frame. Raises BadFrame."""
     try:
         term, leads, state_ok = _STATE.unpack_from(body)
         return PeerState(term, bool(leads), bool(state_ok), body[_STATE.size :].decode())
@@ -97,12 +98,12 @@
 
 
 def pack_answer(status: int, body: bytes) -> bytes:
-    """The body of a RELAYED frame: status and body of an answer."""
+    """Encode the body of a FORWARDED_ANSWER frame: HTTP status and body of an answer."""
     return _STATUS.pack(status) + body
 
 
 def parse_answer(body: bytes) -> tuple[int, bytes]:
-    """The reverse of `pack_answer`. Raises BadFrame."""
+    """Decode the body of a FORWARDED_ANSWER frame. Raises BadFrame."""
     try:
         return _STATUS.unpack_from(body)[0], body[_STATUS.size :]
     except struct.error:
@@ -111,14 +112,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """What a leader would take with it: images per machine (GB each), and seconds of silence of quiet machines."""
+    """A leader's soft state about machines: images per machine (GB each), and seconds of silence of silent machines."""
 
     images: dict[str, dict[str, float]]
     silent: dict[str, float]
 
 
 def pack_fleet(fleet: Fleet, most: int = MAX_FRAME) -> tuple[bytes, int]:
-    """The body, and how many machines' images it had no room for: silence is told of all, for rules rest on it."""
+    """Encode the body of a FLEET_SUMMARY frame of at most `most` bytes.
+
+    Returns the body and the number of machines whose images did not fit. Silence is included for all machines, since
+    the rules for deleting machines depend on it.
+    """
     silent = [_COUNT.pack(len(fleet.silent))]
     silent += [_pack_text(machine) + _SIZE.pack(seconds) for machine, seconds in fleet.silent.items()]
     left = most - _COUNT.size - sum(map(len, silent))
@@ -139,30 +144,30 @@
 
 
 def parse_fleet(body: bytes) -> Fleet:
-    """The reverse of `pack_fleet`. Raises BadFrame."""
-    found: dict[str, dict[str, float]] = {}
+    """Decode the body of a FLEET_SUMMARY frame. Raises BadFrame."""
+    images: dict[str, dict[str, float]] = {}
     silent: dict[str, float] = {}
     try:
-        (machines,), at = _COUNT.unpack_from(body), _COUNT.size
-        for _ in range(machines):
-            machine, at = _parse_text(body, at)
-            (count,) = _COUNT.unpack_from(body, at)
-            at += _COUNT.size
-            held = found.setdefault(machine, {})
-            for _ in range(count):
-                image, at = _parse_text(body, at)
-                (held[image],) = _SIZE.unpack_from(body, at)
-                at += _SIZE.size
-        # A version that knew nothing of silence ends here.
-        quiet = _COUNT.unpack_from(body, at)[0] if at < len(body) else 0
-        at += _COUNT.size
-        for _ in range(quiet):
-            machine, at = _parse_text(body, at)
-            (silent[machine],) = _SIZE.unpack_from(body, at)
-            at += _SIZE.size
+        (machine_count,), offset = _COUNT.unpack_from(body), _COUNT.size
+        for _ in range(machine_count):
+            machine, offset = _parse_text(body, offset)
+            (image_count,) = _COUNT.unpack_from(body, offset)
+            offset += _COUNT.size
+            held = images.setdefault(machine, {})
+            for _ in range(image_count):
+                image, offset = _parse_text(body, offset)
+                (held[image],) = _SIZE.unpack_from(body, offset)
+                offset += _SIZE.size
+        # Frames of earlier versions end here, without the silent machines.
+        silent_count = _COUNT.unpack_from(body, offset)[0] if offset < len(body) else 0
+        offset += _COUNT.size
+        for _ in range(silent_count):
+            machine, offset = _parse_text(body, offset)
+            (silent[machine],) = _SIZE.unpack_from(body, offset)
+            offset += _SIZE.size
     except (struct.error, UnicodeDecodeError):
         raise BadFrame("bad fleet frame") from None
-    return Fleet(found, silent)
+    return Fleet(images, silent)
 
 
 def _pack_text(text: str) -> bytes:
@@ -170,41 +175,45 @@
     return _COUNT.pack(len(data)) + data
 
 
-def _parse_text(body: bytes, at: int) -> tuple[str, int]:
-    (size,) = _COUNT.unpack_from(body, at)
-    data = body[at + _COUNT.size : at + _COUNT.size + size]
+def _parse_text(body: bytes, offset: int) -> tuple[str, int]:
+    """Read a text at `offset`; returns it and the offset after it."""
+    (size,) = _COUNT.unpack_from(body, offset)
+    data = body[offset + _COUNT.size : offset + _COUNT.size + size]
     if len(data) != size:
         raise BadFrame("short text")
-    return data.decode(), at + _COUNT.size + size
+    return data.decode(), offset + _COUNT.size + size
 
 
 def pack_proofs(proofs: list[tuple[str, str]]) -> bytes:
-    """Job and machine; a job without a name: the machine is gone with all that was on it."""
+    """Encode the body of a CANCELLATION_PROOFS frame: pairs of job and machine.
+
+    An empty job id means that the machine is gone, with all tasks on it.
+    """
     return _COUNT.pack(len(proofs)) + b"".join(_pack_text(ref) + _pack_text(machine) for ref, machine in proofs)
 
 
 def parse_proofs(body: bytes) -> list[tuple[str, str]]:
-    """The reverse of `pack_proofs`. Raises BadFrame."""
+    """Decode the body of a CANCELLATION_PROOFS frame. Raises BadFrame."""
     try:
-        (count,), at = _COUNT.unpack_from(body), _COUNT.size
-        found: list[tuple[str, str]] = []
+        (count,), offset = _COUNT.unpack_from(body), _COUNT.size
+        proofs: list[tuple[str, str]] = []
         for _ in range(count):
-            ref, at = _parse_text(body, at)
-            machine, at = _parse_text(body, at)
-            found.append((ref, machine))
+            ref, offset = _parse_text(body, offset)
+            machine, offset = _parse_text(body, offset)
+            proofs.append((ref, machine))
     except (struct.error, UnicodeDecodeError):
         raise BadFrame("bad frame of proofs") from None
-    return found
+    return proofs
 
 
 def pack_job(note: JobNote) -> bytes:
-    """The body of a JOB frame."""
+    """Encode the body of a JOB_RECORD frame."""
     ref = note.ref.encode()
     return _JOB.pack(note.version, len(ref)) + ref + note.record
 
 
 def parse_job(body: bytes) -> JobNote:
-    """The reverse of `pack_job`. Raises BadFrame."""
+    """Decode the body of a JOB_RECORD frame. Raises BadFrame."""
     try:
         version, size = _JOB.unpack_from(body)
         ref = body[_JOB.size : _JOB.size + size]
--- a/winglift/wire/state.py
+++ b/winglift/wire/state.py
@@ -1,4 +1,4 @@
-"""Messages between controllers and the state service."""
+"""Messages between controller nodes and the state service (PROTOCOL, "Controller nodes -> state service")."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class Condition(msgspec.Struct, frozen=True, rename={"key": "k", "version": "keyRev"}):
-    """The key must have this version; 0: it must not exist."""
+    """A condition of a transaction: the key has this version; 0: it does not exist."""
 
     key: str
     version: int
 
 
 class Put(msgspec.Struct, frozen=True, omit_defaults=True, rename={"key": "write", "value": "v", "lease": "permit"}):
-    """Write a value; with a lease, the key lives as long as that."""
+    """Write a value; with a lease, the key is removed when the lease expires."""
 
     key: str
     value: Any
@@ -40,7 +40,7 @@
 
 
 class Drop(msgspec.Struct, frozen=True, rename={"key": "drop"}):
-    """Remove a key."""
+    """Delete a key."""
 
     key: str
 
@@ -53,13 +53,13 @@
 
 
 class Committed(msgspec.Struct, frozen=True, rename={"revision": "ledgerRev"}):
-    """Answer: carried out at this revision."""
+    """Answer of POST /commit: carried out at this revision."""
 
     revision: int
 
 
 class Conflict(msgspec.Struct, frozen=True, rename={"revision": "ledgerRev"}):
-    """Answer: these keys had other versions."""
+    """Answer of POST /commit: refused, since these keys had other versions."""
 
     failed: list[str]
     revision: int = 0
@@ -88,7 +88,7 @@
         "version": "keyRev",
     },
 ):
-    """One change: a put or a removal."""
+    """One change of a key: a write or a deletion."""
 
     put: str | None = None
     delete: str | None = None
--- a/winglift/wire/users.py
+++ b/winglift/wire/users.py
@@ -1,4 +1,7 @@
-"""Messages between users and controllers. Wire names live here, the field's terms everywhere else."""
+"""Messages between users and controller nodes (PROTOCOL, "Users -> controller nodes").
+
+The names used on the wire appear only here, in `rename`; the code uses the usual terms of the field.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +35,7 @@
 
     @property
     def rank(self) -> int:
-        """The larger, the more urgent; production is the highest."""
+        """A number that is larger for more urgent jobs; production has the largest."""
         return _RANK[self]
 
 
@@ -40,7 +43,7 @@
 
 
 class JobStatus(StrEnum):
-    """What a user is told of a job."""
+    """The state of a job as reported to users."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -101,7 +104,7 @@
 
 
 class StatusReply(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a user is told: status and counts of tasks."""
+    """Answer about a job: its status, and the numbers of finished and running tasks."""
 
     ref: str
     status: JobStatus
@@ -112,11 +115,11 @@
 _decoder = msgspec.json.Decoder(Submission)
 _AMOUNTS = ("cpus", "gpus", "memory_gb", "image_gb", "estimate_s", "checkpoint_s", "save_s")
 _NAMES = ("job_class", "team", "image")
-_WIRE = {f.name: f.encode_name for f in msgspec.structs.fields(Submission)}
+_WIRE = {field.name: field.encode_name for field in msgspec.structs.fields(Submission)}
 
 
 def is_ref(text: str) -> bool:
-    """Has the text the form of a job id?"""
+    """Whether the text has the form of a job id."""
     return REF.match(text) is not None
 
 
@@ -126,7 +129,7 @@
 
 
 def parse_submission(body: bytes) -> Submission:
-    """Decode and check a submission; raises Invalid naming the field at fault."""
+    """Decode and check a submission. Raises Invalid that names the field."""
     if len(body) > constants.MAX_BODY:
         raise Invalid("body: more than 64 KiB")
     try:
@@ -156,5 +159,5 @@
 
 
 def encode(value: Any) -> bytes:
-    """A message as JSON."""
+    """Encode a message as JSON."""
     return msgspec.json.encode(value)
--- a/winglift/wire/workers.py
+++ b/winglift/wire/workers.py
@@ -1,4 +1,4 @@
-"""Messages between workers and controllers."""
+"""Messages between workers and controller nodes (PROTOCOL, "Workers -> controller nodes")."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @lru_cache(maxsize=constants.TASK_NAMES_KEPT)
 def parse_task(name: str) -> tuple[str, int] | None:
-    """(job, task number) of a task's name, or None. Most names come back with the machine's next report."""
+    """Job id and task number of a task's name; None if malformed. Cached: most names recur in the next report."""
     ref, _, number = name.partition("/")
     if is_ref(ref) and number.isascii() and number.isdigit() and len(number) <= 6:
         return ref, int(number)
@@ -57,7 +57,7 @@
         "why": "exitCause",
     },
 ):
-    """One task of a report."""
+    """The state of one task in a report."""
 
     task: str
     attempt: int
@@ -66,7 +66,7 @@
     saved: bool = False
 
     def key(self) -> tuple[str, int] | None:
-        """(job, task number), or None when the name has another form."""
+        """Job id and task number, or None if the name is malformed."""
         return parse_task(self.task)
 
 
@@ -87,7 +87,7 @@
         "tasks": "pieces",
     },
 ):
-    """A worker's report."""
+    """Body of POST /v1/report: the state of a worker's machine and its tasks."""
 
     machine: str
     addr: str
@@ -112,7 +112,7 @@
         "grace_s": "windDownS",
     },
 ):
-    """One command: run, halt or reap."""
+    """A command to a worker; `op` is run, halt or reap."""
 
     op: str
     task: str
@@ -121,7 +121,7 @@
 
 
 class Commands(msgspec.Struct, frozen=True, rename={"token": "baton", "commands": "orders"}):
-    """Answer to a report."""
+    """Answer to a report: the leader's fencing token and its commands."""
 
     token: int
     commands: list[Command]
@@ -145,7 +145,7 @@
 
 
 def parse_report(body: bytes) -> Report:
-    """A report's body, decoded. Raises Invalid."""
+    """Decode and check a report. Raises Invalid that names the field."""
     try:
         report = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
@@ -160,15 +160,15 @@
 
 
 def run(task: str, attempt: int) -> Command:
-    """Start this attempt of a task."""
+    """The command that starts this attempt of a task."""
     return Command("run", task, attempt)
 
 
 def halt(task: str, attempt: int, grace_s: float) -> Command:
-    """Stop this attempt; `grace_s` is left to save."""
+    """The command that stops this attempt; it has `grace_s` s to save its state."""
     return Command("halt", task, attempt, grace_s)
 
 
 def reap(task: str, attempt: int) -> Command:
-    """Forget an ended attempt."""
+    """The command that makes the worker forget an ended attempt."""
     return Command("reap", task, attempt)
