--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""Rate budgets: never overdrawn, and first come, first served."""
+"""Rate budgets: never overdrawn, reservations in FIFO order."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 0.5), st.sampled_from([1.0, 1.0, 4.0])), max_size=60))
-def test_who_waits_for_a_budget_has_a_place_in_the_queue(steps):
-    """A rush once shared one short wait, which none of the many got: they waited past their users' patience."""
+def test_budget_reservations_are_served_in_order(steps):
+    """Without reservations, many simultaneous requests computed the same short wait and exceeded their timeouts."""
     budget, now, sent = Budget(5.0, 5.0), 0.0, []
     for pause, amount in steps:
         now += pause
--- a/tests/test_script.py
+++ b/tests/test_script.py
@@ -12,7 +12,7 @@
     assert Script().ask("reserve", 3.0, "c", 3.0) == 3.0
 
 
-def test_numbers_and_hooks_are_taken():
+def test_settings_and_hooks_of_a_script_apply():
     made = parse(
         """return {
         idle_keep_s = 90,
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    ("source", "said"),
+    ("source", "message"),
     [
         ("return {\n idle_keep_s = = 3}", "s.lua:2"),
         ("\n\nerror('no')", "s.lua:3"),
@@ -45,8 +45,8 @@
         ("debug.sethook()", "debug"),
     ],
 )
-def test_a_faulty_script_is_refused_with_its_reason(source, said):
-    with pytest.raises(ScriptError, match=said):
+def test_a_faulty_script_is_refused_with_its_reason(source, message):
+    with pytest.raises(ScriptError, match=message):
         parse(source, "s.lua")
 
 
@@ -61,7 +61,7 @@
         "local s = 'x' while true do s = s .. s end",
     ],
 )
-def test_a_failing_hook_is_switched_off_and_the_default_applies(body):
+def test_failing_hook_is_disabled_and_its_default_applies(body):
     made = parse(f"return {{reserve = function(class, n) {body} end}}", "s.lua")
     assert made.ask("reserve", 3.0, "c", 3.0) == 3.0
     assert made.hooks == {}
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -1,4 +1,4 @@
-"""Submissions that meet a moment of the node: while its start is under way, a sound job is never refused for good."""
+"""Submissions while a node starts: a job that can run is never refused as unschedulable."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from winglift.api.jobs import Jobs, TemporarilyUnavailable
 
 
-def test_a_submission_during_whose_look_up_the_types_come_is_not_told_that_it_can_never_run():
-    """Found in simulated time: a user who came in the first 10 ms of a node was told 422."""
+def test_submission_is_not_unschedulable_if_the_types_arrive_during_the_read():
+    """Found in simulation: a submission in the first 10 ms of a node got 422."""
 
     async def scenario() -> None:
         types: dict = {}
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Formats under generated inputs: what is valid survives, what is not is named, and nothing else escapes."""
+"""Wire formats under generated inputs: valid messages round-trip, invalid ones raise only the documented error."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 )
 
 
-def test_a_sound_submission_is_understood():
+def test_valid_submission_is_parsed():
     sub = user_messages.parse_submission(json.dumps(WIRE | {"novel": 1}).encode())
     assert (sub.ref, sub.kind, sub.tasks, sub.due_s, sub.zone) == (
         "wk-000412",
@@ -52,27 +52,27 @@
 
 
 @given(st.binary(max_size=200) | JSON.map(lambda v: json.dumps(v).encode()))
-def test_noise_is_invalid_and_nothing_else(body):
+def test_random_input_raises_only_invalid(body):
     for parse in (user_messages.parse_submission, worker_messages.parse_report):
         with pytest.raises(user_messages.Invalid):
             parse(body)
 
 
 @pytest.mark.parametrize("ref", ["wk-", "wk-1a", "job-1", "wk-1 ", "wk-1\n", "wk-" + "1" * 40, ""])
-def test_an_odd_id_is_refused(ref):
+def test_malformed_job_id_is_refused(ref):
     assert not user_messages.is_ref(ref)
     with pytest.raises(user_messages.Invalid, match="ref"):
         user_messages.parse_submission(json.dumps(WIRE | {"ref": ref}).encode())
 
 
 @given(st.integers(0, 2**64 - 1), st.booleans(), st.booleans(), st.text(max_size=20))
-def test_state_frames_survive(term, leads, ok, node):
+def test_peer_state_frames_round_trip(term, leads, ok, node):
     state = peer_messages.PeerState(term, leads, ok, node)
     assert peer_messages.parse_state(peer_messages.pack_state(state)) == state
 
 
 @given(st.integers(0, 2**64 - 1), st.text(max_size=20), st.binary(max_size=200))
-def test_job_frames_survive(version, ref, record):
+def test_job_record_frames_round_trip(version, ref, record):
     note = peer_messages.JobNote(version, ref, record)
     data = peer_messages.frame(peer_messages.FrameType.JOB_RECORD, 7, peer_messages.pack_job(note))
     header = peer_messages.parse_header(data[: peer_messages.HEADER.size])
@@ -84,8 +84,8 @@
 
 
 @given(st.dictionaries(st.text(max_size=9), SIZES), SIZES)
-def test_what_is_told_of_the_fleet_survives(images, silent):
-    """Also as an earlier version told it, which knew nothing of silence."""
+def test_fleet_summaries_round_trip(images, silent):
+    """Also in the format of an earlier version, without the silent machines."""
     before = peer_messages.pack_fleet(peer_messages.Fleet(images, {}))[0][:-2]
     assert peer_messages.parse_fleet(before) == peer_messages.Fleet(images, {})
     assert peer_messages.parse_fleet(
@@ -94,8 +94,8 @@
 
 
 @pytest.mark.parametrize("machines", [50, 970, 2000])
-def test_what_is_told_of_a_fleet_of_any_size_fits_a_frame(machines):
-    """At 970 machines of ten images each the word of them was too long for a frame, and was dropped without a word."""
+def test_fleet_summary_of_any_size_fits_into_a_frame(machines):
+    """At 970 machines of ten images each the summary was too long for a frame and was silently dropped."""
     names = [f"vm-{n:06d}" for n in range(machines)]
     fleet = peer_messages.Fleet(
         {name: {f"image-of-class-{n}": 6.0 for n in range(10)} for name in names}, dict.fromkeys(names, 7.5)
@@ -105,14 +105,14 @@
         len(peer_messages.frame(peer_messages.FrameType.FLEET_SUMMARY, 0, body))
         <= peer_messages.MAX_FRAME + peer_messages.HEADER.size
     )
-    told = peer_messages.parse_fleet(body)
-    assert told.silent == fleet.silent  # of every machine: it is what silence is judged by
-    assert told.images == {name: fleet.images[name] for name in names[: machines - left_out]}
+    parsed = peer_messages.parse_fleet(body)
+    assert parsed.silent == fleet.silent  # of every machine: rules for deletions depend on it
+    assert parsed.images == {name: fleet.images[name] for name in names[: machines - left_out]}
     assert (left_out > 0) == (machines > 50)
 
 
 @given(st.binary(max_size=40))
-def test_noise_on_the_back_link_is_a_bad_frame(data):
+def test_random_frames_raise_only_bad_frame(data):
     for parse in (
         peer_messages.parse_header,
         peer_messages.parse_state,
@@ -128,7 +128,7 @@
 
 
 @given(st.lists(st.tuples(st.text(max_size=20), st.text(max_size=20)), max_size=30), st.integers(0, 200))
-def test_proofs_survive_their_frame_and_a_short_one_is_refused(proofs, short):
+def test_cancellation_proofs_round_trip_and_a_truncated_frame_is_refused(proofs, short):
     body = peer_messages.pack_proofs(proofs)
     assert peer_messages.parse_proofs(body) == proofs
     if 0 < short < len(body) and proofs:
@@ -137,7 +137,7 @@
 
 
 @given(st.integers(0, 255), st.integers(0, 2**32 - 1), st.integers(0, peer_messages.MAX_FRAME))
-def test_a_frame_of_a_later_version_has_a_length_and_no_type(kind, request, length):
+def test_frame_of_a_later_version_has_a_length_and_no_type(kind, request, length):
     header = peer_messages.parse_header(peer_messages.HEADER.pack(peer_messages.MAGIC, kind, request, length))
     assert (header.request, header.length) == (request, length)
     assert header.type is None or header.type == kind
@@ -145,7 +145,7 @@
 
 
 @given(st.sets(st.integers(0, 3000), min_size=1))
-def test_ranges_survive(numbers):
+def test_ranges_round_trip(numbers):
     assert set(records.unpack_ranges(records.pack_ranges(sorted(numbers)))) == numbers
 
 
--- a/winglift/config/script.py
+++ b/winglift/config/script.py
@@ -14,6 +14,7 @@
 from typing import Any
 
 from .. import constants
+from .errors import ConfigurationError
 
 log = logging.getLogger(__name__)
 
@@ -50,7 +51,7 @@
 FORBIDDEN = {"pcall"}
 
 
-class ScriptError(Exception):
+class ScriptError(ConfigurationError):
     """The script can't be used; the text names file and line."""
 
 
--- a/winglift/config/settings.py
+++ b/winglift/config/settings.py
@@ -9,10 +9,12 @@
 
 import msgspec
 
+from .errors import ConfigurationError
+
 _ADDR = re.compile(r"([0-9]{1,3}(?:\.[0-9]{1,3}){3}):([0-9]{1,5})\Z")
 
 
-class SettingsError(Exception):
+class SettingsError(ConfigurationError):
     """The settings file is invalid; the text is one line with the field's path and what was expected."""
 
 
--- a/winglift/wire/flows.py
+++ b/winglift/wire/flows.py
@@ -92,8 +92,8 @@
 
     def over(self, other: Hints) -> Hints:
         """These hints, completed by those of `other` where they are not given."""
-        mine = {f: v for f in self.__struct_fields__ if (v := getattr(self, f)) is not None}
-        return msgspec.structs.replace(other, **mine)
+        given = {name: value for name in self.__struct_fields__ if (value := getattr(self, name)) is not None}
+        return msgspec.structs.replace(other, **given)
 
 
 class Tool(msgspec.Struct, frozen=True, omit_defaults=True, tag="tool"):
