--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -187,7 +187,7 @@
 def test_an_announcement_that_is_no_record_is_refused_and_ends_no_connection(note, caplog):
     scene = begun()
     host, node = scene.nodes["node-1"]
-    assert host.context.run(node._on_job, peer_messages.JobNote(3, "wk-1", note)) == 400
+    assert host.context.run(node._on_peer_job_record, peer_messages.JobNote(3, "wk-1", note)) == 400
     assert len(caplog.records) == 1 and not node.cancellation_enforcer.cancellations.by_job
 
 
@@ -210,7 +210,8 @@
     assert node.leader_term is not None and "wk-1" not in node.leader_term.cluster.jobs
     version, record = next((v, r) for v, r in told if r.assignments)
     scene.loop.call_soon(
-        lambda: node._on_job(peer_messages.JobNote(version, "wk-1", records.encode(record))), context=host.context
+        lambda: node._on_peer_job_record(peer_messages.JobNote(version, "wk-1", records.encode(record))),
+        context=host.context,
     )
     changes = scene.state.revision
     scene.loop.run(scene.loop.now + 0.5)
@@ -242,7 +243,7 @@
         if name != old:
 
             def ask(peer, kind, body, done, node=node, usual=node.peers._ask):
-                if kind is peer_messages.FrameType.JOB and peer.seed.node == old:
+                if kind is peer_messages.FrameType.JOB_RECORD and peer.seed.node == old:
                     told.append(1)
                     usual(peer, kind, body, lambda answer: done(None))
                 else:
@@ -322,7 +323,7 @@
     version = job.version + 2
     answers: list[int] = []
     scene.loop.call_soon(
-        lambda: answers.append(node._on_job(peer_messages.JobNote(version, "wk-1", records.encode(found)))),
+        lambda: answers.append(node._on_peer_job_record(peer_messages.JobNote(version, "wk-1", records.encode(found)))),
         context=host.context,
     )
     scene.loop.run(scene.loop.now + 0.01)
--- a/winglift/cluster/peer_connections.py
+++ b/winglift/cluster/peer_connections.py
@@ -132,19 +132,19 @@
 
     def _dispatch(self, stream: Stream, header: peer_messages.Header, body: bytes) -> None:
         """Handle one frame. Frames of an unknown type are ignored: a later version may send them."""
-        if header.type is peer_messages.FrameType.STATE:
+        if header.type is peer_messages.FrameType.PEER_STATE:
             self._on_heartbeat(peer_messages.parse_state(body))
-        elif header.type is peer_messages.FrameType.JOB:
+        elif header.type is peer_messages.FrameType.JOB_RECORD:
             status = self._on_job(peer_messages.parse_job(body))
             if header.request:
                 self._answer(stream, header, status, b"")
-        elif header.type is peer_messages.FrameType.PROOFS:
+        elif header.type is peer_messages.FrameType.CANCELLATION_PROOFS:
             self._on_proofs(peer_messages.parse_proofs(body))
-        elif header.type is peer_messages.FrameType.FLEET:
+        elif header.type is peer_messages.FrameType.FLEET_SUMMARY:
             # Parsed only by the next leader: at 970 machines parsing each announcement took a tenth of a follower's
             # CPU time.
             self._fleet, self.fleet_at = body, monotonic_time()
-        elif header.type is peer_messages.FrameType.RELAY:
+        elif header.type is peer_messages.FrameType.FORWARDED_REPORT:
             try:
                 status, answer = self._on_forwarded_report(body)
             except Exception:
@@ -158,7 +158,7 @@
         # Not awaited: the next frame is read meanwhile, and a closed stream ends the loop.
         stream.write(
             peer_messages.frame(
-                peer_messages.FrameType.RELAYED, header.request, peer_messages.pack_answer(status, answer)
+                peer_messages.FrameType.FORWARDED_ANSWER, header.request, peer_messages.pack_answer(status, answer)
             )
         )
 
@@ -241,7 +241,9 @@
                 async with asyncio.timeout(constants.PEER_WRITE_S):
                     heartbeat = peer_messages.pack_state(self._own_state())
                     # Shielded: tornado logs an error for each write that is cancelled.
-                    await asyncio.shield(stream.write(peer_messages.frame(peer_messages.FrameType.STATE, 0, heartbeat)))
+                    await asyncio.shield(
+                        stream.write(peer_messages.frame(peer_messages.FrameType.PEER_STATE, 0, heartbeat))
+                    )
                 await asyncio.sleep(constants.PEER_STATE_INTERVAL_S)
         finally:
             reader.cancel()
@@ -253,7 +255,9 @@
                 request = peer.pending_requests.pop(header.request, None)
                 if request is not None:
                     request.on_answer(
-                        peer_messages.parse_answer(body) if header.type is peer_messages.FrameType.RELAYED else None
+                        peer_messages.parse_answer(body)
+                        if header.type is peer_messages.FrameType.FORWARDED_ANSWER
+                        else None
                     )
         except StreamClosedError:
             pass
@@ -270,7 +274,7 @@
         A request has no task and no timer of its own: with 400 reports a second those were a sixth of a follower's
         CPU time.
         """
-        self._ask(peer, peer_messages.FrameType.RELAY, report, on_answer)
+        self._ask(peer, peer_messages.FrameType.FORWARDED_REPORT, report, on_answer)
 
     def announce_record(self, peer: Peer, note: peer_messages.JobNote, on_answer: OnAnswer) -> None:
         """Announce a record to a node; the status is 200 if it acts on it as the leader, 202 if it now knows it."""
@@ -279,7 +283,7 @@
             peer.acknowledges_records = peer.acknowledges_records or answer is not None
             on_answer(answer)
 
-        self._ask(peer, peer_messages.FrameType.JOB, peer_messages.pack_job(note), on_acknowledged)
+        self._ask(peer, peer_messages.FrameType.JOB_RECORD, peer_messages.pack_job(note), on_acknowledged)
 
     def announce_proofs(self, proofs: list[tuple[str, str]]) -> None:
         """Announce proofs (job and machine; no job: the machine is deleted) to the peers that know such frames.
@@ -290,7 +294,7 @@
             for first in range(0, len(proofs) if peer.acknowledges_records else 0, constants.CANCELLATION_PROOFS_MAX):
                 self._send(
                     peer,
-                    peer_messages.FrameType.PROOFS,
+                    peer_messages.FrameType.CANCELLATION_PROOFS,
                     peer_messages.pack_proofs(proofs[first : first + constants.CANCELLATION_PROOFS_MAX]),
                 )
 
@@ -337,7 +341,7 @@
         """Announce a record to the leader, which saves it the wait for its watch. Loss does no harm."""
         peer = self.leader(monotonic_time())
         if peer is not None:
-            self._send(peer, peer_messages.FrameType.JOB, peer_messages.pack_job(note))
+            self._send(peer, peer_messages.FrameType.JOB_RECORD, peer_messages.pack_job(note))
 
     @property
     def fleet(self) -> peer_messages.Fleet:
@@ -366,7 +370,7 @@
             )
         self._omitted_images = omitted
         for peer in self.by_node.values():
-            self._send(peer, peer_messages.FrameType.FLEET, body)
+            self._send(peer, peer_messages.FrameType.FLEET_SUMMARY, body)
 
     @staticmethod
     def _send(peer: Peer, kind: peer_messages.FrameType, body: bytes) -> None:
