--- /dev/null
+++ b/tests/test_architecture.py
@@ -0,0 +1,159 @@
+"""Every module, class, function, constant and page that docs/architecture.md names exists under that name."""
+
+from __future__ import annotations
+
+import ast
+import pathlib
+import re
+from dataclasses import dataclass, field
+
+import pytest
+
+ROOT = pathlib.Path(__file__).parent.parent
+PACKAGE = ROOT / "winglift"
+PAGE = ROOT / "docs" / "architecture.md"
+
+CODE_SPAN = re.compile(r"`([^`\n]+)`")
+MODULE = re.compile(r"[a-z_]+(?:/[a-z_]+)*\.py")
+CLASS = re.compile(r"([A-Z][a-z]+[A-Za-z]*)(?:\.(\w+))?")
+FUNCTION = re.compile(r"([a-z_]+)\(\)")
+CONSTANT = re.compile(r"[A-Z]+(?:_[A-Z]+)+")
+CLASS_IN_MODULE = re.compile(r"`([A-Z][a-z]+[A-Za-z]*)(?:\.\w+)?`\s+\(`([a-z_/]+\.py)`")
+LINK = re.compile(r"\]\(([^)#\s]*)(?:#([^)\s]+))?\)")
+FENCED_BLOCK = re.compile(r"```.*?```", re.DOTALL)
+
+
+@dataclass
+class Symbols:
+    """What the package defines: members by class, classes by module, public functions, texts."""
+
+    members: dict[str, set[str]] = field(default_factory=dict)
+    classes_in: dict[str, set[str]] = field(default_factory=dict)
+    functions: set[str] = field(default_factory=set)
+    sources: str = ""
+
+
+def members_of(definition: ast.ClassDef) -> set[str]:
+    """Methods, fields and enumeration members of a class."""
+    found: set[str] = set()
+    for node in definition.body:
+        if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
+            found.add(node.name)
+        elif isinstance(node, ast.AnnAssign) and isinstance(node.target, ast.Name):
+            found.add(node.target.id)
+        elif isinstance(node, ast.Assign):
+            found.update(target.id for target in node.targets if isinstance(target, ast.Name))
+    return found
+
+
+def package_symbols() -> Symbols:
+    """Read all modules of the package; nothing is imported."""
+    symbols = Symbols()
+    for path in sorted(PACKAGE.rglob("*.py")):
+        source = path.read_text()
+        symbols.sources += source
+        classes = symbols.classes_in.setdefault(path.relative_to(PACKAGE).as_posix(), set())
+        for node in ast.parse(source).body:
+            if isinstance(node, ast.ClassDef):
+                classes.add(node.name)
+                symbols.members.setdefault(node.name, set()).update(members_of(node))
+            elif isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
+                symbols.functions.add(node.name)
+    return symbols
+
+
+def heading_anchors(page: pathlib.Path) -> set[str]:
+    """The anchors of a page's headings, as the usual renderers make them."""
+    headings = re.findall(r"^#+ (.+)$", page.read_text(), re.MULTILINE)
+    return {re.sub(r"[^\w\- ]", "", heading.lower()).replace(" ", "-") for heading in headings}
+
+
+def wrong_spans(text: str, symbols: Symbols) -> list[str]:
+    """Code spans that look like a name of the code and name nothing."""
+    wrong: list[str] = []
+    for span in CODE_SPAN.findall(text):
+        if span.startswith(("tests/", "docs/")):
+            known = (ROOT / span).is_file()
+        elif MODULE.fullmatch(span):
+            known = span in symbols.classes_in
+        elif match := CLASS.fullmatch(span):
+            known = match[1] in symbols.members and (match[2] is None or match[2] in symbols.members[match[1]])
+        elif match := FUNCTION.fullmatch(span):
+            known = match[1] in symbols.functions
+        elif CONSTANT.fullmatch(span):
+            known = re.search(rf"\b{span}\b", symbols.sources) is not None
+        else:
+            continue
+        if not known:
+            wrong.append(span)
+    return wrong
+
+
+def wrong_places(text: str, symbols: Symbols) -> list[str]:
+    """Classes that the page places in a module which does not define them."""
+    return [
+        f"{name} in {module}"
+        for name, module in CLASS_IN_MODULE.findall(text)
+        if name not in symbols.classes_in.get(module, set())
+    ]
+
+
+def wrong_links(text: str) -> list[str]:
+    """Links to pages or headings that do not exist."""
+    wrong: list[str] = []
+    for target, anchor in LINK.findall(text):
+        page = PAGE.parent / target if target else PAGE
+        if not page.is_file() or (anchor and anchor not in heading_anchors(page)):
+            wrong.append(f"{target}#{anchor}")
+    return wrong
+
+
+def faults(text: str) -> list[str]:
+    """All that is wrong with the names and links of a page."""
+    symbols = package_symbols()
+    prose = FENCED_BLOCK.sub("", text)
+    return wrong_spans(prose, symbols) + wrong_places(prose, symbols) + wrong_links(prose)
+
+
+def test_all_names_on_the_page_exist():
+    assert faults(PAGE.read_text()) == []
+
+
+def test_the_page_names_modules_classes_and_pages():
+    """The patterns find what they are meant to find: a page written in another form would pass unread."""
+    text = PAGE.read_text()
+    spans = CODE_SPAN.findall(FENCED_BLOCK.sub("", text))
+    assert sum(MODULE.fullmatch(span) is not None for span in spans) >= 30
+    assert sum(CLASS.fullmatch(span) is not None for span in spans) >= 30
+    assert len(CLASS_IN_MODULE.findall(text)) >= 10
+    assert len(LINK.findall(text)) >= 10
+
+
+@pytest.mark.parametrize(
+    "wrong",
+    [
+        "`store/mirror.py`",
+        "`Picture`",
+        "`LeaderTerm.lead`",
+        "`Role.MASTER`",
+        "`take_over_all()`",
+        "`WINGLIFT_NO_SUCH_THING`",
+        "`tests/test_no_such_thing.py`",
+        "`LeaderTerm` (`store/election.py`)",
+        "[page](no-such-page.md)",
+        "[page](operations.md#no-such-heading)",
+    ],
+)
+def test_a_wrong_name_is_found(wrong: str):
+    assert len(faults(f"{PAGE.read_text()}\n{wrong}\n")) == 1
+
+
+def test_the_first_link_of_the_readme_is_the_page():
+    links = LINK.findall((ROOT / "README.md").read_text())
+    assert links[0][0] == "docs/architecture.md"
+
+
+def test_the_page_stays_one_page():
+    lines = PAGE.read_text().splitlines()
+    assert len(lines) <= 160
+    assert [line for line in lines if len(line) > 120 and not line.startswith("|")] == []
