--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,7 @@
-"""Every module, class, function, constant and page that docs/architecture.md names exists under that name."""
+"""Every module, class, function, constant and page that docs/architecture.md names exists under that name.
+
+So does every present name in the tables of docs/design.md, "Names" and "Glossary".
+"""
 
 from __future__ import annotations
 
@@ -12,6 +15,7 @@
 ROOT = pathlib.Path(__file__).parent.parent
 PACKAGE = ROOT / "winglift"
 PAGE = ROOT / "docs" / "architecture.md"
+DESIGN = ROOT / "docs" / "design.md"
 
 CODE_SPAN = re.compile(r"`([^`\n]+)`")
 MODULE = re.compile(r"[a-z_]+(?:/[a-z_]+)*\.py")
@@ -148,6 +152,31 @@
     assert len(faults(f"{PAGE.read_text()}\n{wrong}\n")) == 1
 
 
+def renames() -> list[tuple[str, str]]:
+    """Earlier and present names: the rows of the tables under the heading "Names"."""
+    section = DESIGN.read_text().split("\n## Names\n")[1].split("\n## ")[0]
+    rows = [line.strip("| ").split(" | ") for line in section.splitlines() if line.startswith("| `")]
+    return [(row[0], row[1]) for row in rows]
+
+
+def test_present_names_in_the_design_exist():
+    symbols = package_symbols()
+    present = "\n".join(new for _, new in renames())
+    glossary = DESIGN.read_text().split("\n## Glossary\n")[1].split("\n## ")[0]
+    assert wrong_spans(present, symbols) + wrong_spans(glossary, symbols) == []
+
+
+def test_no_module_has_an_earlier_name():
+    earlier = "\n".join(old for old, _ in renames())
+    modules = [f"{span}.py" for span in CODE_SPAN.findall(earlier) if re.fullmatch(r"[a-z]+/[a-z_]+", span)]
+    assert len(modules) >= 30
+    assert set(modules) & set(package_symbols().classes_in) == {
+        "model/entities.py",
+        "model/records.py",
+        "duties/duty.py",
+    }
+
+
 def test_the_first_link_of_the_readme_is_the_page():
     links = LINK.findall((ROOT / "README.md").read_text())
     assert links[0][0] == "docs/architecture.md"
