--- a/winglift/model/cluster_state.py
+++ b/winglift/model/cluster_state.py
@@ -80,7 +80,7 @@
         if not job.active:
             job.gang_started = job.gang_broken = False
             job.queued_since = now
-        if job.committed_assignments.get(task.index) == (task.machine.name, task.attempt):
+        if job.committed_assignments.get(task.index) == task.assignment:
             job.request_write(WritePriority.CLEANUP)
         self.changed = True
 
--- a/winglift/model/entities.py
+++ b/winglift/model/entities.py
@@ -8,6 +8,7 @@
 import math
 from collections import OrderedDict
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from .. import constants
 from ..wire.cloud import MachineType
@@ -21,6 +22,13 @@
 Resources = tuple[float, float, float]  # CPUs, GPUs, GB of memory
 
 
+class Assignment(NamedTuple):
+    """What a job's record says of an assigned task."""
+
+    machine: str
+    attempt: int
+
+
 @dataclass(slots=True, eq=False)
 class Job:
     """A job: its committed record, and what this leader has decided since."""
@@ -33,8 +41,8 @@
     done: CompletedTasks = field(default_factory=lambda: CompletedTasks(0))
     next_attempt: int = 1
     active: dict[int, Task] = field(default_factory=dict)
-    # of the committed record: machine and attempt by task number, and the state
-    committed_assignments: dict[int, tuple[str, int]] = field(default_factory=dict)
+    # of the committed record: the assignments by task number, and the state
+    committed_assignments: dict[int, Assignment] = field(default_factory=dict)
     committed_state: JobState = JobState.OPEN
     pending_write: WritePriority = WritePriority.NONE
     write_in_flight: bool = False
@@ -132,6 +140,11 @@
         """The task's name in the protocol: job and number."""
         return f"{self.job.ref}/{self.index}"
 
+    @property
+    def assignment(self) -> Assignment:
+        """Its machine and attempt, as a record names them."""
+        return Assignment(self.machine.name, self.attempt)
+
     def move(self, event: TaskEvent, now: float) -> TaskState:
         """Apply an event; the state is changed nowhere else. Raises InvalidTransition."""
         new = next_state(self.state, event)
--- a/winglift/model/record_application.py
+++ b/winglift/model/record_application.py
@@ -6,7 +6,7 @@
 
 from . import records
 from .cluster_state import ClusterState
-from .entities import Job, Machine, Task
+from .entities import Assignment, Job, Machine, Task
 from .job_state import JobEvent, JobState
 from .machine_state import MachineState
 from .task_state import TaskEvent, TaskState
@@ -82,18 +82,18 @@
 
 def _apply_assignments(cluster: ClusterState, job: Job, loaded: records.UnpackedRecord, now: float) -> None:
     """Commit the proposals that the record names, and take over its other assignments."""
-    for index, (name, attempt) in loaded.assignments.items():
+    for index, assignment in loaded.assignments.items():
         task = job.active.get(index)
-        if task is not None and (task.machine.name, task.attempt) == (name, attempt):
+        if task is not None and task.assignment == assignment:
             if task.state is TaskState.PROPOSED:
                 task.move(TaskEvent.COMMIT, now)
             continue
         if task is not None:
             cluster.transition_and_release(task, TaskEvent.REJECT, now)
-        if name in cluster.deleted_machines:
+        if assignment.machine in cluster.deleted_machines:
             job.request_write(WritePriority.CLEANUP)
             continue
-        _inherit_assignment(cluster, job, index, name, attempt, now)
+        _inherit_assignment(cluster, job, index, assignment, now)
 
 
 def _reject_unrecorded_proposals(cluster: ClusterState, job: Job, loaded: records.UnpackedRecord, now: float) -> None:
@@ -115,13 +115,13 @@
 
 def _assigned_by_other_leader(job: Job, loaded: records.UnpackedRecord) -> bool:
     """Whether the record assigns a task elsewhere than this state does: only another leader can have moved it."""
-    for index, place in loaded.assignments.items():
+    for index, assignment in loaded.assignments.items():
         task = job.active.get(index)
-        if task is not None and task.state is not TaskState.PROPOSED and (task.machine.name, task.attempt) != place:
+        if task is not None and task.state is not TaskState.PROPOSED and task.assignment != assignment:
             log.info(
                 "task %s: assigned by another leader, recorded_machine=%s machine=%s",
                 task.name,
-                place[0],
+                assignment.machine,
                 task.machine.name,
             )
             return True
@@ -143,15 +143,16 @@
     return True
 
 
-def _inherit_assignment(cluster: ClusterState, job: Job, index: int, name: str, attempt: int, now: float) -> None:
+def _inherit_assignment(cluster: ClusterState, job: Job, index: int, assignment: Assignment, now: float) -> None:
     """Take over an assignment of a record: the task may run there, so it counts for its team's limit and is not started
     elsewhere (invariant 2)."""
+    name = assignment.machine
     machine = cluster.machines.get(name)
     if machine is None:
         known_since = cluster.silent_since.get(name, now)
         machine = Machine(name, None, "", "", False, MachineState.INHERITED, known_since, now)
         cluster.machines[name] = machine
-    cluster.assign(Task(job, index, attempt, machine, TaskState.UNKNOWN, now))
+    cluster.assign(Task(job, index, assignment.attempt, machine, TaskState.UNKNOWN, now))
 
 
 def apply_commit(cluster: ClusterState, job: Job, version: int, record: records.JobRecord, now: float) -> None:
@@ -163,9 +164,9 @@
     if version > job.version:  # otherwise its user's cancellation has been received before the write's answer
         _take_version(job, version, loaded)
         _apply_final_state(job, loaded)
-    for index, place in loaded.assignments.items():
+    for index, assignment in loaded.assignments.items():
         task = job.active.get(index)
-        if task and task.state is TaskState.PROPOSED and (task.machine.name, task.attempt) == place:
+        if task and task.state is TaskState.PROPOSED and task.assignment == assignment:
             task.move(TaskEvent.COMMIT, now)
             if not job.is_open or task.machine.state is not MachineState.UP:
                 cluster.request_stop(task, 0.0, now, "no longer wanted")
--- a/winglift/model/records.py
+++ b/winglift/model/records.py
@@ -13,7 +13,8 @@
 
 from ..wire.state import Condition, Put
 from ..wire.users import Submission
-from .entities import Task
+from .entities import Assignment, Task
+from .errors import FinalStateViolation, InvalidRecord
 from .job_state import CompletedTasks, JobState
 from .task_state import TaskState
 
@@ -68,14 +69,6 @@
 _decoder = msgspec.json.Decoder(JobRecord)
 
 
-class InvalidRecord(ValueError):
-    """A record that this program did not write."""
-
-
-class FinalStateViolation(Exception):
-    """A change that would replace a recorded final state."""
-
-
 def record_change(ref: str, version: int, committed: JobState, record: JobRecord) -> tuple[Condition, Put]:
     """Condition and put of a change of a job's record, whose state is `committed` at `version` (0: it is new).
 
@@ -145,7 +138,7 @@
     state: JobState
     next_attempt: int
     done: CompletedTasks
-    assignments: dict[int, tuple[str, int]]  # task number: machine, attempt
+    assignments: dict[int, Assignment]  # by task number
     cancelled_at: float | None = None
 
 
@@ -175,7 +168,9 @@
     """The unpacked form of a record. Raises InvalidRecord."""
     try:
         assignments = {
-            number: (name, attempt) for name, attempt, text in record.assignments for number in unpack_ranges(text)
+            number: Assignment(name, attempt)
+            for name, attempt, text in record.assignments
+            for number in unpack_ranges(text)
         }
         done = unpack_done(record.spec.tasks, record.first_open, record.done_bitmap)
         return UnpackedRecord(
--- a/winglift/model/report_reconciliation.py
+++ b/winglift/model/report_reconciliation.py
@@ -13,7 +13,7 @@
 from ..wire import workers as worker_messages
 from . import task_reconciliation
 from .cluster_state import ClusterState
-from .entities import Machine, Task
+from .entities import Assignment, Machine, Task
 from .job_state import JobState
 from .machine_state import MachineEvent, MachineState
 from .task_state import PRESENT, TaskEvent, TaskState
@@ -264,7 +264,7 @@
     task = machine.tasks.get(key)
     if task is not None and task.attempt == attempt:
         return False
-    return job.committed_assignments.get(key[1]) != (machine.name, attempt)
+    return job.committed_assignments.get(key[1]) != Assignment(machine.name, attempt)
 
 
 def due_commands(
--- a/winglift/model/task_state.py
+++ b/winglift/model/task_state.py
@@ -4,6 +4,8 @@
 
 from enum import Enum, auto
 
+from .errors import InvalidTransition
+
 
 class TaskState(Enum):
     """The states of an assigned task."""
@@ -35,10 +37,6 @@
     MACHINE_GONE = auto()  # the machine's deletion was answered
 
 
-class InvalidTransition(Exception):
-    """An event that the state does not allow."""
-
-
 _S, _E = TaskState, TaskEvent
 _HELD = (_S.COMMITTED, _S.SENT, _S.UNKNOWN, _S.FETCHING, _S.WAITING, _S.RUNNING, _S.SAVING)
 
