--- a/winglift/model/boot_tracker.py
+++ b/winglift/model/boot_tracker.py
@@ -94,16 +94,16 @@
         return not boot_overdue(machine, now) or self.all_pools_failing(types)
 
     def probe_allowance(
-        self, types: Iterable[MachineType], machines: Iterable[Machine], asked: Iterable[CapacityPool], now: float
+        self, types: Iterable[MachineType], machines: Iterable[Machine], requested: Iterable[CapacityPool], now: float
     ) -> dict[CapacityPool, int]:
         """How many machines may be rented in each failing pool now: a few probes show whether it has recovered.
 
-        `asked`: the pools of the rental requests that are under way.
+        `requested`: the pools of the rental requests that are under way.
         """
         if not self.failing_since or self.all_pools_failing(types):
             return {}
         remaining = {pool: constants.FAILING_POOL_PROBES for pool in self.failing_since}
-        for pool in asked:
+        for pool in requested:
             if pool in remaining:
                 remaining[pool] -= 1
         for machine in machines:
--- a/winglift/model/cancellations.py
+++ b/winglift/model/cancellations.py
@@ -153,16 +153,16 @@
         return commands
 
     def on_probe_answer(
-        self, report: worker_messages.Report, asked: float, now: float
+        self, report: worker_messages.Report, sent_at: float, now: float
     ) -> list[worker_messages.Command]:
-        """Apply the answer to a probe that this node sent at `asked`; return the stops of what it still lists.
+        """Apply the answer to a probe that this node sent at `sent_at`; return the stops of what it still lists.
 
         Tasks that it does not list are proven off the machine, unless a start could still have been in flight then.
         """
         commands = self.on_report(report, now)
         listed_jobs = {command.task.partition("/")[0] for command in commands}
         for cancellation in self.on_machine(report.machine):
-            if cancellation.ref not in listed_jobs and cancellation.min_age_s(asked) >= self.settle_s:
+            if cancellation.ref not in listed_jobs and cancellation.min_age_s(sent_at) >= self.settle_s:
                 self.clear_machine(cancellation.ref, report.machine, now)
         return commands
 
--- a/winglift/model/cluster_state.py
+++ b/winglift/model/cluster_state.py
@@ -39,9 +39,8 @@
         self.finished_versions: OrderedDict[str, int] = OrderedDict()
         self.quota = QuotaUsage({t.name: t for t in settings.settings.teams})
         self.runtime_ratio: dict[str, float] = {}  # job class: run time as a ratio of the estimate
-        self.inherited_images: dict[
-            str, dict[str, float]
-        ] = {}  # image caches by machine, as the leader before recorded them
+        # image caches by machine, as the leader before recorded them
+        self.inherited_images: dict[str, dict[str, float]] = {}
         self.silent_since: dict[str, float] = {}  # time of the latest report of machines silent at the failover
         self.boot_tracker = BootTracker()
         self.records_current_at = -math.inf  # changes that other nodes committed before this time are known here
--- a/winglift/model/report_reconciliation.py
+++ b/winglift/model/report_reconciliation.py
@@ -1,7 +1,7 @@
 """Reconciliation of the cluster state with workers' reports, and the commands that answer them.
 
-Reports and commands: PROTOCOL, "Worker -> controller nodes". `task_reconciliation` applies what a report says of single
-tasks.
+Reports and commands: PROTOCOL, "Workers -> controller nodes". `task_reconciliation` applies what a report says of
+single tasks.
 """
 
 from __future__ import annotations
@@ -148,7 +148,7 @@
             listed[key] = task_report
             task_reconciliation.apply_task_report(cluster, task, task_report, now)
         elif task_report.phase is not worker_messages.Phase.EXITED:
-            # In no record: nobody may have started it. It is stopped, and uses capacity until then.
+            # In no record: no node was allowed to start it. It is stopped, and uses capacity until then.
             machine.unknown_tasks[key] = task_report.attempt
             log.warning(
                 "machine %s: task in no record, task=%s attempt=%d",
