--- a/winglift/policy/gangs.py
+++ b/winglift/policy/gangs.py
@@ -19,6 +19,14 @@
     victims: list[Victim]  # to preempt there
 
 
+def _preemption_cost_s(victims: list[Victim]) -> float:
+    """Seconds of work lost by preempting these tasks, with a surcharge for those within a guarantee."""
+    return sum(
+        victim.lost_work_s * victim.gang_size + (constants.DISPLACE_S if victim.within_guarantee else 0.0)
+        for victim in victims
+    )
+
+
 class GangPlacer:
     """Places gangs: all tasks of one together, or none."""
 
@@ -176,20 +184,11 @@
                 fetch = fetch_s(capacity, spec) * weight
                 if capacity.fits_after_stops(spec):
                     options.append(Option(fetch, capacity, []))
-                    continue
-                # To spare a fetch no other gang loses its start.
-                chosen = (
-                    self._victims(demand, capacity, warm, displace, victims_by_machine)
-                    if capacity.preemptible_tasks
-                    else None
-                )
-                if chosen:
-                    cost = sum(
-                        victim.lost_work_s * victim.gang_size
-                        + (constants.DISPLACE_S if victim.within_guarantee else 0.0)
-                        for victim in chosen
-                    )
-                    options.append(Option(cost + 1.0 + fetch, capacity, chosen))
+                elif capacity.preemptible_tasks:
+                    # To spare a fetch no other gang loses its start.
+                    chosen = self._victims(demand, capacity, warm, displace, victims_by_machine)
+                    if chosen:
+                        options.append(Option(_preemption_cost_s(chosen) + 1.0 + fetch, capacity, chosen))
             options.sort(key=lambda option: option.cost)
             if len(options) >= tasks:
                 cost = sum(option.cost for option in options[:tasks])
@@ -205,6 +204,7 @@
         displace: bool,
         victims_by_machine: dict[str, tuple[int, list[Victim] | None]],
     ) -> list[Victim] | None:
+        """The tasks to preempt on one machine, kept in `victims_by_machine` until the machine's version changes."""
         found = victims_by_machine.get(capacity.name)
         if found is None or found[0] != capacity.version:
             chosen = self.placement.preemption.victims(
--- a/winglift/policy/plan.py
+++ b/winglift/policy/plan.py
@@ -59,14 +59,12 @@
         self._all_candidates: dict[MachineGroup, PreemptionCandidates] = {}
 
     def _capacities_of(self, group: MachineGroup) -> list[FreeCapacity]:
-        placement = self.placement
-        return (
-            placement.booting
-            if group == "booting"
-            else placement.running
-            if group == "running"
-            else placement.with_image(self.demand.spec.image)
-        )
+        """The machines of a group."""
+        if group == "booting":
+            return self.placement.booting
+        if group == "running":
+            return self.placement.running
+        return self.placement.with_image(self.demand.spec.image)
 
     def _belongs_to(self, group: MachineGroup, capacity: FreeCapacity) -> bool:
         """Whether a machine belongs to the group."""
@@ -75,6 +73,7 @@
         return capacity.ready_in <= 0 and (group == "running" or self.demand.spec.image in capacity.images)
 
     def _search(self, group: MachineGroup, soon: bool = False) -> Search:
+        """The search of a group, made once per demand. `soon`: on capacity that stops under way release too."""
         found = self._searches.get((group, soon))
         if found is None:
             placement, spec = self.placement, self.demand.spec
@@ -90,6 +89,7 @@
         return found
 
     def _candidates(self, group: MachineGroup) -> PreemptionCandidates:
+        """The preemption candidates of a group, made once per demand."""
         found = self._all_candidates.get(group)
         if found is None:
             placement, demand = self.placement, self.demand
@@ -107,6 +107,7 @@
         return found
 
     def _start_on(self, capacity: FreeCapacity) -> None:
+        """Allocate a task on a machine, and enter the machine again in all searches."""
         capacity.allocate(self.demand.spec)
         self.placed[capacity.zone] = self.placed.get(capacity.zone, 0) + 1
         for (group, _), search in self._searches.items():
@@ -129,6 +130,7 @@
         return self._candidates(group).preempt_cheapest(self.placed)
 
     def _fetch_too_long(self, capacity: FreeCapacity) -> bool:
+        """Whether a task that is due now would fetch its image for long there."""
         return self.demand.spec.due_s is None and fetch_s(capacity, self.demand.spec) > constants.FETCH_WORTH_S
 
     def place(self, index: int, must_start: bool) -> bool:
--- a/winglift/policy/preemption.py
+++ b/winglift/policy/preemption.py
@@ -208,6 +208,7 @@
         self.is_empty = not self._heap
 
     def _entry(self, capacity: FreeCapacity) -> PreemptionEntry | None:
+        """The heap entry of a machine, or None if preemption frees too little there."""
         demand = self.demand
         chosen = self.preemption.victims(demand, capacity, self.allow_gang_start_loss)
         if not chosen:
--- a/winglift/policy/renting.py
+++ b/winglift/policy/renting.py
@@ -68,6 +68,7 @@
         )
 
     def _available(self, mtype: MachineType, spec: Submission) -> bool:
+        """Whether the cloud has not refused this type lately in every zone and kind that the job allows."""
         key = mtype.name, spec.zone, spec.spot
         found = self._availability.get(key)
         if found is None:
--- a/winglift/policy/warm_pool.py
+++ b/winglift/policy/warm_pool.py
@@ -49,6 +49,7 @@
 
 
 def _units(amount: float, each: float) -> float:
+    """How many tasks that take `each` fit into an amount; infinite if they take none of it."""
     return amount / each if each > 0 else math.inf
 
 
@@ -59,6 +60,7 @@
         self.placement = placement
 
     def _demand(self, spec: Submission) -> Demand:
+        """A demand of expected arrivals, for which no job waits yet."""
         snapshot = self.placement.snapshot
         return Demand(
             "reserve",
