--- a/winglift/policy/gangs.py
+++ b/winglift/policy/gangs.py
@@ -55,11 +55,11 @@
                 found.setdefault(capacity.zone if demand.spec.one_zone else None, []).append(capacity)
         return found
 
-    def allocate_all(self, demand: Demand, soon: bool, include_booting: bool = False) -> list[FreeCapacity] | None:
-        """Allocate places for all tasks of a gang, or nothing (None)."""
-        placement, spec, tasks = self.placement, demand.spec, len(demand.indices)
-        stage = placement.search_stage(soon, include_booting)
-        where = (
+    @staticmethod
+    def _search_key(demand: Demand, stage: tuple[int, int]) -> Hashable:
+        """The key of gangs that may be placed on the same machines, at one stage of the cycle."""
+        spec = demand.spec
+        return (
             "gang",
             demand.ref if demand.has_reservation else "",
             spec.spot,
@@ -70,6 +70,11 @@
             demand.prefers_cpu_machines,
             stage,
         )
+
+    def allocate_all(self, demand: Demand, soon: bool, include_booting: bool = False) -> list[FreeCapacity] | None:
+        """Allocate places for all tasks of a gang, or nothing (None)."""
+        placement, spec, tasks = self.placement, demand.spec, len(demand.indices)
+        where = self._search_key(demand, placement.search_stage(soon, include_booting))
         if placement.failed_searches.known_to_fail(where, spec, tasks):
             return None
         capacities = placement.running + placement.booting if include_booting else placement.running
--- a/winglift/policy/plan.py
+++ b/winglift/policy/plan.py
@@ -251,29 +251,36 @@
     return gangs.preempt(demand) or (demand.may_displace and gangs.preempt(demand, displace=True))
 
 
-def consolidate(placement: PlacementState, warm_pool: WarmPool) -> str | None:
-    """The emptiest machine whose replicas would all fit on others that hold their images."""
-    snapshot = placement.snapshot
-    if not snapshot.may_migrate or placement.plan.waiting or placement.plan.rentals or placement.booting:
-        return None
+def _consolidation_candidates(placement: PlacementState) -> list[FreeCapacity]:
+    """The machines that run only replicas which may be moved, the best to empty first.
+
+    Few replicas are quickly moved; few images are little lost for later starts. Replicas on GPU machines, which others
+    need more, go first, then those whose move saves most.
+    """
     candidates = [
         capacity
         for capacity in placement.running
         if capacity.replica_count and not capacity.pinned_tasks and not capacity.preemptible_tasks
     ]
-    others = [capacity for capacity in placement.running if not capacity.empty]
-    tried = 0
-    # Few replicas are quickly moved; few images are little lost for later starts.
-    # Replicas on GPU machines, which others need more, go first, then those whose move saves most.
-    for capacity in sorted(
-        candidates,
+    candidates.sort(
         key=lambda capacity: (
             capacity.type.gpus <= 0,
             capacity.replica_count / max(capacity.type.price, constants.PRICE_MIN),
             len(capacity.images),
             capacity.name,
-        ),
-    ):
+        )
+    )
+    return candidates
+
+
+def consolidate(placement: PlacementState, warm_pool: WarmPool) -> str | None:
+    """The emptiest machine whose replicas would all fit on others that hold their images."""
+    snapshot = placement.snapshot
+    if not snapshot.may_migrate or placement.plan.waiting or placement.plan.rentals or placement.booting:
+        return None
+    others = [capacity for capacity in placement.running if not capacity.empty]
+    tried = 0
+    for capacity in _consolidation_candidates(placement):
         capacity.inspect()
         if any(replica.ran_s < constants.MIGRATION_AFTER_S for replica in capacity.movable_replicas):
             continue
--- a/winglift/policy/replica_relocation.py
+++ b/winglift/policy/replica_relocation.py
@@ -36,6 +36,18 @@
     )
 
 
+def _relocatable_replicas(placement: PlacementState, capacity: FreeCapacity) -> list[MovableReplica]:
+    """The replicas of a machine that prefer types without GPUs, those with most CPUs first."""
+    return sorted(
+        (
+            replica
+            for replica in capacity.movable_replicas
+            if cost_model.prefers_cpu_machines(replica.spec, placement.snapshot.types)
+        ),
+        key=lambda replica: -replica.spec.cpus,
+    )
+
+
 def relocate_replicas(placement: PlacementState, demand: Demand) -> bool:
     """Move replicas off the machine that requires the fewest moves for one task of an unplaced demand.
 
@@ -53,14 +65,7 @@
         ):
             continue
         capacity.inspect()
-        replicas = sorted(
-            (
-                replica
-                for replica in capacity.movable_replicas
-                if cost_model.prefers_cpu_machines(replica.spec, placement.snapshot.types)
-            ),
-            key=lambda replica: -replica.spec.cpus,
-        )
+        replicas = _relocatable_replicas(placement, capacity)
         count = next(
             (count for count in range(1, len(replicas) + 1) if _fits_without(capacity, demand.spec, replicas[:count])),
             None,
