--- a/winglift/policy/gangs.py
+++ b/winglift/policy/gangs.py
@@ -19,6 +19,14 @@
     victims: list[Victim]  # to preempt there
 
 
+def _preemption_cost_s(victims: list[Victim]) -> float:
+    """Seconds of work lost by preempting these tasks, with a surcharge for those within a guarantee."""
+    return sum(
+        victim.lost_work_s * victim.gang_size + (constants.DISPLACE_S if victim.within_guarantee else 0.0)
+        for victim in victims
+    )
+
+
 class GangPlacer:
     """Places gangs: all tasks of one together, or none."""
 
@@ -47,11 +55,11 @@
                 found.setdefault(capacity.zone if demand.spec.one_zone else None, []).append(capacity)
         return found
 
-    def allocate_all(self, demand: Demand, soon: bool, include_booting: bool = False) -> list[FreeCapacity] | None:
-        """Allocate places for all tasks of a gang, or nothing (None)."""
-        placement, spec, tasks = self.placement, demand.spec, len(demand.indices)
-        stage = placement.search_stage(soon, include_booting)
-        where = (
+    @staticmethod
+    def _search_key(demand: Demand, stage: tuple[int, int]) -> Hashable:
+        """The key of gangs that may be placed on the same machines, at one stage of the cycle."""
+        spec = demand.spec
+        return (
             "gang",
             demand.ref if demand.has_reservation else "",
             spec.spot,
@@ -62,6 +70,11 @@
             demand.prefers_cpu_machines,
             stage,
         )
+
+    def allocate_all(self, demand: Demand, soon: bool, include_booting: bool = False) -> list[FreeCapacity] | None:
+        """Allocate places for all tasks of a gang, or nothing (None)."""
+        placement, spec, tasks = self.placement, demand.spec, len(demand.indices)
+        where = self._search_key(demand, placement.search_stage(soon, include_booting))
         if placement.failed_searches.known_to_fail(where, spec, tasks):
             return None
         capacities = placement.running + placement.booting if include_booting else placement.running
@@ -176,20 +189,11 @@
                 fetch = fetch_s(capacity, spec) * weight
                 if capacity.fits_after_stops(spec):
                     options.append(Option(fetch, capacity, []))
-                    continue
-                # To spare a fetch no other gang loses its start.
-                chosen = (
-                    self._victims(demand, capacity, warm, displace, victims_by_machine)
-                    if capacity.preemptible_tasks
-                    else None
-                )
-                if chosen:
-                    cost = sum(
-                        victim.lost_work_s * victim.gang_size
-                        + (constants.DISPLACE_S if victim.within_guarantee else 0.0)
-                        for victim in chosen
-                    )
-                    options.append(Option(cost + 1.0 + fetch, capacity, chosen))
+                elif capacity.preemptible_tasks:
+                    # To spare a fetch no other gang loses its start.
+                    chosen = self._victims(demand, capacity, warm, displace, victims_by_machine)
+                    if chosen:
+                        options.append(Option(_preemption_cost_s(chosen) + 1.0 + fetch, capacity, chosen))
             options.sort(key=lambda option: option.cost)
             if len(options) >= tasks:
                 cost = sum(option.cost for option in options[:tasks])
@@ -205,6 +209,7 @@
         displace: bool,
         victims_by_machine: dict[str, tuple[int, list[Victim] | None]],
     ) -> list[Victim] | None:
+        """The tasks to preempt on one machine, kept in `victims_by_machine` until the machine's version changes."""
         found = victims_by_machine.get(capacity.name)
         if found is None or found[0] != capacity.version:
             chosen = self.placement.preemption.victims(
--- a/winglift/policy/plan.py
+++ b/winglift/policy/plan.py
@@ -59,14 +59,12 @@
         self._all_candidates: dict[MachineGroup, PreemptionCandidates] = {}
 
     def _capacities_of(self, group: MachineGroup) -> list[FreeCapacity]:
-        placement = self.placement
-        return (
-            placement.booting
-            if group == "booting"
-            else placement.running
-            if group == "running"
-            else placement.with_image(self.demand.spec.image)
-        )
+        """The machines of a group."""
+        if group == "booting":
+            return self.placement.booting
+        if group == "running":
+            return self.placement.running
+        return self.placement.with_image(self.demand.spec.image)
 
     def _belongs_to(self, group: MachineGroup, capacity: FreeCapacity) -> bool:
         """Whether a machine belongs to the group."""
@@ -75,6 +73,7 @@
         return capacity.ready_in <= 0 and (group == "running" or self.demand.spec.image in capacity.images)
 
     def _search(self, group: MachineGroup, soon: bool = False) -> Search:
+        """The search of a group, made once per demand. `soon`: on capacity that stops under way release too."""
         found = self._searches.get((group, soon))
         if found is None:
             placement, spec = self.placement, self.demand.spec
@@ -90,6 +89,7 @@
         return found
 
     def _candidates(self, group: MachineGroup) -> PreemptionCandidates:
+        """The preemption candidates of a group, made once per demand."""
         found = self._all_candidates.get(group)
         if found is None:
             placement, demand = self.placement, self.demand
@@ -107,6 +107,7 @@
         return found
 
     def _start_on(self, capacity: FreeCapacity) -> None:
+        """Allocate a task on a machine, and enter the machine again in all searches."""
         capacity.allocate(self.demand.spec)
         self.placed[capacity.zone] = self.placed.get(capacity.zone, 0) + 1
         for (group, _), search in self._searches.items():
@@ -129,6 +130,7 @@
         return self._candidates(group).preempt_cheapest(self.placed)
 
     def _fetch_too_long(self, capacity: FreeCapacity) -> bool:
+        """Whether a task that is due now would fetch its image for long there."""
         return self.demand.spec.due_s is None and fetch_s(capacity, self.demand.spec) > constants.FETCH_WORTH_S
 
     def place(self, index: int, must_start: bool) -> bool:
@@ -249,29 +251,36 @@
     return gangs.preempt(demand) or (demand.may_displace and gangs.preempt(demand, displace=True))
 
 
-def consolidate(placement: PlacementState, warm_pool: WarmPool) -> str | None:
-    """The emptiest machine whose replicas would all fit on others that hold their images."""
-    snapshot = placement.snapshot
-    if not snapshot.may_migrate or placement.plan.waiting or placement.plan.rentals or placement.booting:
-        return None
+def _consolidation_candidates(placement: PlacementState) -> list[FreeCapacity]:
+    """The machines that run only replicas which may be moved, the best to empty first.
+
+    Few replicas are quickly moved; few images are little lost for later starts. Replicas on GPU machines, which others
+    need more, go first, then those whose move saves most.
+    """
     candidates = [
         capacity
         for capacity in placement.running
         if capacity.replica_count and not capacity.pinned_tasks and not capacity.preemptible_tasks
     ]
-    others = [capacity for capacity in placement.running if not capacity.empty]
-    tried = 0
-    # Few replicas are quickly moved; few images are little lost for later starts.
-    # Replicas on GPU machines, which others need more, go first, then those whose move saves most.
-    for capacity in sorted(
-        candidates,
+    candidates.sort(
         key=lambda capacity: (
             capacity.type.gpus <= 0,
             capacity.replica_count / max(capacity.type.price, constants.PRICE_MIN),
             len(capacity.images),
             capacity.name,
-        ),
-    ):
+        )
+    )
+    return candidates
+
+
+def consolidate(placement: PlacementState, warm_pool: WarmPool) -> str | None:
+    """The emptiest machine whose replicas would all fit on others that hold their images."""
+    snapshot = placement.snapshot
+    if not snapshot.may_migrate or placement.plan.waiting or placement.plan.rentals or placement.booting:
+        return None
+    others = [capacity for capacity in placement.running if not capacity.empty]
+    tried = 0
+    for capacity in _consolidation_candidates(placement):
         capacity.inspect()
         if any(replica.ran_s < constants.MIGRATION_AFTER_S for replica in capacity.movable_replicas):
             continue
