--- a/tests/test_batcher.py
+++ b/tests/test_batcher.py
@@ -96,7 +96,7 @@
     settle(batcher)
     assert state.sizes == [3] and [j.pending_write for j in cluster.jobs.values()] == [PROGRESS] * 3 + [0] * 3
     state.tokens = 1000
-    batcher._waits = dict.fromkeys(batcher._waits, -100.0)
+    batcher._waiting_since = dict.fromkeys(batcher._waiting_since, -100.0)
     settle(batcher)
     assert state.sizes == [3, 3] and not any(j.pending_write for j in cluster.jobs.values())
 
@@ -132,7 +132,7 @@
     state, cluster, batcher = prepared(1)
     (job,) = cluster.jobs.values()
     job.pending_write = PROGRESS
-    batcher._waits = {job.ref: -100.0}
+    batcher._waiting_since = {job.ref: -100.0}
     state.tokens = 1
     settle(batcher)
     assert state.sizes == [1] and not job.pending_write
--- a/tests/test_successors.py
+++ b/tests/test_successors.py
@@ -212,7 +212,7 @@
     async def scenario() -> None:
         election = Election(State(), "node-0", lambda: None)  # type: ignore[arg-type]
         election.campaign_requested.set()
-        election._first_look = look == 1
+        election._first_read = look == 1
         await election._follow()
         assert election.known_term == 7
 
--- a/winglift/duties/duty.py
+++ b/winglift/duties/duty.py
@@ -1,7 +1,7 @@
-"""A duty of the leader as a state machine, and the fence under which all of it is done.
+"""The leader's exclusive duties as state machines, and the fencing token under which they are carried out.
 
-One lease for all duties (`docs/duties.md` weighs the others): a node holds them by the leadership key at its revision.
-A duty is held only once the node knows what the holder before it had begun.
+One lease covers all duties (`docs/duties.md` compares the alternatives): a node holds them by the leadership key at its
+revision. A duty is held only once the node knows which operations the previous holder had begun.
 """
 
 from __future__ import annotations
@@ -18,29 +18,27 @@
 
 
 class DutyName(Enum):
-    """What only one controller may do."""
+    """The duties that only one controller may carry out."""
 
-    PLACEMENT = (
-        "placing"  # starts, stops, moves: reclaiming room from lost machines and from borrowed work is part of it
-    )
+    PLACEMENT = "placing"  # starts, stops, moves; reclaims capacity of lost machines and of borrowed work
     CLOUD_OPERATIONS = "renting and returning"
     GARBAGE_COLLECTION = "clean-up"
 
 
 class DutyState(Enum):
-    """How far this node is with a duty."""
+    """States of a duty on this node."""
 
-    ACQUIRING = auto()  # the lease is held; what the holder before had begun is not known yet
+    ACQUIRING = auto()  # the lease is held; the operations of the previous holder are not known yet
     HELD = auto()
-    IN_DOUBT = auto()  # the lease may have ended by this node's clock: nothing leaves it
-    LOST = auto()  # another node holds the fence, or the lease has ended
-    RELINQUISHED = auto()  # this node has ended its work by itself
+    IN_DOUBT = auto()  # the lease may have expired by this node's clock: nothing is sent
+    LOST = auto()  # another node holds the leadership key, or the lease has expired
+    RELINQUISHED = auto()  # this node has resigned
 
 
 class DutyEvent(Enum):
-    """What moves a duty."""
+    """Events that change a duty's state."""
 
-    READY = auto()  # what the holder before had begun has been read and taken over
+    READY = auto()  # the operations of the previous holder have been read and taken over
     OVERDUE = auto()
     RENEW = auto()
     LOSE = auto()
@@ -65,36 +63,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Fence:
-    """What a holder's acts are checked against: by the state service the key's revision, by workers the term."""
+    """Fencing token of a term: the state service checks the leadership key's revision, workers check the term."""
 
     term: int
     revision: int
 
     def condition(self) -> Condition:
-        """Stands in every transaction of a duty (invariant 1): it fails from the moment another node holds the key."""
+        """Condition of every transaction of a duty (invariant 1): it fails once another node holds the key."""
         return Condition(LEADER_KEY, self.revision)
 
 
 @dataclass(eq=False)
 class Duty:
-    """One duty of the holder, as a state machine."""
+    """One duty of one term, as a state machine."""
 
     name: DutyName
     fence: Fence
     state: DutyState = DutyState.ACQUIRING
 
     def move(self, event: DutyEvent) -> DutyState:
-        """The one place where a duty changes its state. What does not apply changes nothing: an end is for good."""
-        new = TRANSITIONS.get((self.state, event), self.state)
-        if new is not self.state:
-            log.debug("%s under term %d: %s", self.name.value, self.fence.term, new.name.lower())
-            self.state = new
-        return new
+        """Apply an event; the only place where a duty changes its state.
+
+        An event that does not apply changes nothing: LOST and RELINQUISHED are final.
+        """
+        new_state = TRANSITIONS.get((self.state, event), self.state)
+        if new_state is not self.state:
+            log.debug(
+                "duty: state changed: duty=%s term=%d state=%s",
+                self.name.value,
+                self.fence.term,
+                new_state.name.lower(),
+            )
+            self.state = new_state
+        return new_state
 
 
 @dataclass(eq=False)
 class Duties:
-    """All duties of one term, and the lease that they are held by."""
+    """All duties of one term, held by one lease."""
 
     leadership: Leadership
     fence: Fence = field(init=False)
@@ -108,27 +114,28 @@
         return self._all[name]
 
     def mark_ready(self, name: DutyName) -> None:
-        """What must be known for a duty is known."""
+        """Record that all that must be known before this duty is carried out has been read."""
         self._all[name].move(DutyEvent.READY)
         self.sync_with_lease()
 
     def sync_with_lease(self) -> None:
-        """Take over what has become of the lease."""
-        lead = self.leadership.role is Role.LEADER and self.leadership.term == self.fence.term
-        doubt = self.leadership.role is Role.DOUBTFUL and self.leadership.term == self.fence.term
+        """Update all duties to the state of the lease."""
+        leads = self.leadership.role is Role.LEADER and self.leadership.term == self.fence.term
+        in_doubt = self.leadership.role is Role.DOUBTFUL and self.leadership.term == self.fence.term
+        event = DutyEvent.RENEW if leads else DutyEvent.OVERDUE if in_doubt else DutyEvent.LOSE
         for duty in self._all.values():
-            duty.move(DutyEvent.RENEW if lead else DutyEvent.OVERDUE if doubt else DutyEvent.LOSE)
+            duty.move(event)
 
     def relinquish(self) -> None:
-        """No duty may be carried out any more in this term."""
+        """End all duties of this term."""
         for duty in self._all.values():
             duty.move(DutyEvent.RELINQUISH)
 
     def may_act(self, name: DutyName, now: float) -> bool:
-        """May this be decided and sent at this moment? Asked after every wait, with the clock read anew.
+        """May this duty be carried out at steady time `now`? Asked after every wait, with the clock read anew.
 
         `entitled` counts the lease from when its renewal was sent, by a clock that may be slow (CLOCK_DRIFT), and ends
-        it LEADER_MARGIN_S early, for what lies between this question and the sending.
+        it LEADER_MARGIN_S early, to cover the time between this check and the sending.
         """
         duty = self._all[name]
         return (
--- a/winglift/duties/external_operation.py
+++ b/winglift/duties/external_operation.py
@@ -1,7 +1,7 @@
-"""An effect on the cloud, from its intent to its end, as a state machine.
+"""An external operation, a rental or deletion at the cloud, as a state machine from its intent to its end.
 
-The cloud checks neither term nor key. So an effect's intent is in the state service, committed under the fence, before
-the call is sent: whoever follows reads it and knows what may have been done, or may yet be, minutes later.
+The cloud checks neither term nor leadership key. So the intent is committed to the state service under the fencing
+token before the call is sent: a successor reads it and knows what may have been done, or may yet be, minutes later.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 
 
 class OperationState(Enum):
-    """How far an effect on the cloud is."""
+    """States of an external operation."""
 
     INTENDED = auto()  # decided, known to this node alone
-    RECORDED = auto()  # in the book: every later holder knows of it
-    SENT = auto()  # it may have been carried out, or may yet be
-    SETTLED = auto()  # answered: it is done
-    ABANDONED = auto()  # certainly not done: refused, or withdrawn before it was recorded
+    RECORDED = auto()  # committed in the intent log: every successor knows of it
+    SENT = auto()  # the call may have been executed, or may yet be
+    SETTLED = auto()  # the cloud has confirmed it
+    ABANDONED = auto()  # certainly not executed: refused, or withdrawn before it was recorded
 
 
 class OperationEvent(Enum):
-    """What moves an effect."""
+    """Events that change an operation's state."""
 
     RECORD = auto()
     SEND = auto()
-    SEND_UNRECORDED = auto()  # a deletion for a cancelled task, while the state service is away
+    SEND_UNRECORDED = auto()  # a deletion for a cancelled task, while the state service is unavailable
     ANSWER = auto()
     REFUSE = auto()
     WITHDRAW = auto()
@@ -40,16 +40,16 @@
     (_S.INTENDED, _E.RECORD): _S.RECORDED,
     (_S.INTENDED, _E.WITHDRAW): _S.ABANDONED,
     (_S.INTENDED, _E.SEND_UNRECORDED): _S.SENT,
-    (_S.RECORDED, _E.RECORD): _S.RECORDED,  # once more in a later page
+    (_S.RECORDED, _E.RECORD): _S.RECORDED,  # written again in a later intent record
     (_S.RECORDED, _E.SEND): _S.SENT,
     (_S.RECORDED, _E.SEND_UNRECORDED): _S.SENT,
     (_S.SENT, _E.RECORD): _S.SENT,
-    (_S.SENT, _E.SEND): _S.SENT,  # no answer: the same again
+    (_S.SENT, _E.SEND): _S.SENT,  # no answer: retried
     (_S.SENT, _E.SEND_UNRECORDED): _S.SENT,
     (_S.SENT, _E.ANSWER): _S.SETTLED,
     (_S.SENT, _E.REFUSE): _S.ABANDONED,
     (_S.SETTLED, _E.RECORD): _S.SETTLED,
-    (_S.ABANDONED, _E.RECORD): _S.ABANDONED,  # the page was under way when it ended
+    (_S.ABANDONED, _E.RECORD): _S.ABANDONED,  # the intent record was being written when it ended
 }
 OPEN = frozenset({_S.INTENDED, _S.RECORDED, _S.SENT})
 
@@ -59,15 +59,15 @@
     """A rental under a name that is never used again, or the deletion of one machine."""
 
     name: str  # of the rental, or of the machine to be deleted
-    intended_at: float  # steady time of its intent, as well as it is known
-    request: Rent | None = None  # what is rented; None: a deletion
+    intended_at: float  # steady time in s; of an inherited rental, computed from times of day
+    request: Rent | None = None  # the rental request; None: a deletion
     state: OperationState = OperationState.INTENDED
-    machines: tuple[str, ...] = ()  # what a rental has brought
+    machines: tuple[str, ...] = ()  # that a rental has brought
     ended_at: float = math.inf
-    inherited: bool = False  # an earlier holder intended it
+    inherited: bool = False  # an earlier leader intended it
 
     def move(self, event: OperationEvent, now: float) -> OperationState:
-        """The one place where an effect changes its state."""
+        """Apply an event; the only place where an operation changes its state. Raises InvalidTransition."""
         try:
             self.state = TRANSITIONS[self.state, event]
         except KeyError:
@@ -78,5 +78,5 @@
 
     @property
     def is_open(self) -> bool:
-        """May it still be carried out, or is its end not known?"""
+        """May it still be executed, or is its outcome not known?"""
         return self.state in OPEN
--- a/winglift/duties/garbage_collection.py
+++ b/winglift/duties/garbage_collection.py
@@ -1,7 +1,7 @@
-"""Clean-up of state: what no longer means anything is removed by the duty's holder, with what the write budget leaves.
+"""Garbage collection of stored state by the leader, with spare write budget only.
 
-Each removal is conditional on the fence and on the revision at which its key was found to mean nothing: a clean-up that
-is applied late, or by a replaced holder, removes nothing that was written since.
+Each removal is conditional on the fencing token and on the revision at which its key was found to be garbage: a removal
+that is applied late, or by a replaced leader, removes nothing that was written since.
 """
 
 from __future__ import annotations
@@ -26,34 +26,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Removal:
-    """Keys that mean nothing any more, at the revisions at which that was found, and what is written about it."""
+    """Keys that are garbage, at the revisions at which that was found, and the values written with their removal."""
 
     what: str
     keys: tuple[tuple[str, int], ...]
-    puts: tuple[tuple[state_messages.Put, int], ...] = ()  # and the revision that its key must have
+    puts: tuple[tuple[state_messages.Put, int], ...] = ()  # each with the revision that its key must have
 
     def transaction(self, fence: state_messages.Condition) -> state_messages.Transaction:
-        """The transaction that removes it, fenced."""
+        """The transaction that removes the keys, conditional on the fencing token and on each key's revision."""
         conditions = [
             fence,
             *(state_messages.Condition(key, version) for key, version in self.keys),
             *(state_messages.Condition(put.key, version) for put, version in self.puts),
         ]
         return state_messages.Transaction(
-            conditions, [*(state_messages.Drop(key) for key, _ in self.keys), *(p for p, _ in self.puts)]
+            conditions, [*(state_messages.Drop(key) for key, _ in self.keys), *(put for put, _ in self.puts)]
         )
 
 
 class Sweeper(Protocol):
-    """Knows one kind of leftovers."""
+    """Finds one kind of garbage."""
 
     async def find(self, most: int) -> Iterable[Removal]:
-        """What may go now, each removal of at most so many changes. Raises Refused or Unknown if it can't be told."""
+        """Removals that may be made now, each of at most `most` changes. Raises RequestRejected or OutcomeUnknown."""
         ...
 
 
 class GarbageCollector:
-    """Garbage collection of stored state, a little at a time, with what the budget leaves."""
+    """Runs the sweepers while this node holds the duty, and removes what they find."""
 
     def __init__(self, state: StateClient, limits: Limits, duties: Duties) -> None:
         self.state = state
@@ -62,13 +62,13 @@
         self._limits = limits
 
     def _has_spare_budget(self) -> bool:
-        """Is there budget that neither starts nor ends nor users need?"""
+        """Is the duty held, and is there write budget that neither starts nor ends nor users need?"""
         return self.duties.may_act(DutyName.GARBAGE_COLLECTION, monotonic_time()) and self.state.has_spare_writes(
             constants.GC_WRITES_KEPT
         )
 
     async def run(self) -> None:
-        """Look for garbage every GC_INTERVAL_S while this node holds the duty."""
+        """Run each sweeper every GC_INTERVAL_S while this node holds the duty and there is spare budget."""
         while True:
             await asyncio.sleep(constants.GC_INTERVAL_S)
             for sweeper in self.sweepers:
@@ -82,23 +82,23 @@
                     if not self.duties.may_act(DutyName.GARBAGE_COLLECTION, monotonic_time()):
                         return
                     await asyncio.sleep(constants.WRITE_AGAIN_S)
-                # On the leadership key at its revision, as every write of a duty (invariant 1).
-                done = await self.state.commit(removal.transaction(self.duties.fence.condition()))
-                if isinstance(done, state_messages.Committed):
-                    log.debug("clean-up: %s, %d keys removed", removal.what, len(removal.keys))
+                # Every write of a duty is conditional on the leadership key at its revision (invariant 1).
+                result = await self.state.commit(removal.transaction(self.duties.fence.condition()))
+                if isinstance(result, state_messages.Committed):
+                    log.debug("garbage collection: removed: what=%r keys=%d", removal.what, len(removal.keys))
         except (RequestRejected, OutcomeUnknown, LeaseExpired) as err:
-            log.debug("clean-up: %s; it goes on at the next look", err)
+            log.debug("garbage collection: interrupted until the next run: error=%s", err)
 
 
 class ImageCacheSweeper:
-    """Pages of images that name no machine there is."""
+    """Finds image cache records that name no existing machine."""
 
     def __init__(self, state: StateClient, cluster: ClusterState) -> None:
         self.state = state
         self.cluster = cluster
 
     async def find(self, most: int) -> list[Removal]:
-        """Pages of images that no longer mean anything."""
+        """One removal for each image cache record all of whose machines are gone."""
         items, _ = await self.state.list(image_cache_record.PREFIX)
         stale = [
             item
--- a/winglift/duties/intent_log.py
+++ b/winglift/duties/intent_log.py
@@ -1,8 +1,8 @@
-"""The book of duties: what the holder intends to do to the cloud, committed under its fence before anything is sent.
+"""Intent log of external operations: each is committed under the fencing token before its call is sent to the cloud.
 
-One value of the state service. Every write of it is conditional on the leadership key and on the book's own revision,
-so a replaced holder records nothing more, and sends nothing that is not recorded. Effects that come together share a
-write; an effect's end rides in the next one.
+The log is one value of the state service. Every write of it is conditional on the leadership key and on the value's own
+revision, so a replaced leader records nothing more, and sends nothing that is not recorded. Operations that are
+requested together share a write; the end of an operation is written with the next one.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class FenceLost(Exception):
-    """Another node holds the leadership key: nothing can be recorded any more."""
+    """Another node holds the leadership key: this node can record no more operations in this term."""
 
 
 def _add_no_hints(record: intent_record.IntentRecord) -> None:
@@ -36,7 +36,7 @@
 
 
 class IntentLog:
-    """The intent log: what is under way at the cloud, committed before it is sent."""
+    """The external operations of one term and of its predecessors, committed before they are sent."""
 
     def __init__(
         self,
@@ -50,30 +50,30 @@
         self.fence = fence
         self.fence_lost = False  # the leadership key has another revision
         self.loaded = False
-        self.inherited = intent_record.IntentRecord(0.0, 0)  # as an earlier holder left it
+        self.inherited = intent_record.IntentRecord(0.0, 0)  # the record that the previous leader left
         self.rentals: dict[str, ExternalOperation] = {}
         self.deletions: dict[str, ExternalOperation] = {}
         self._add_failover_hints = add_failover_hints  # fills in the record's optional fields
         self._most_bytes = int(limits.value_kb * 1024) - constants.RECORD_SPARE_BYTES
-        # Lists are up to twice their lag old: what ended longer ago is in every list that is asked for from now on.
+        # The cloud's lists are up to twice their lag old: every list requested from now on shows what ended longer ago.
         self._keep_s = 2 * list_lag_s + constants.INTENT_LOG_KEEP_MARGIN_S
         self._version = 0
-        self._base = wall_time()
+        self._base_time = wall_time()
         self._written = b""
         self._written_at = 0.0
         self._write_requested = asyncio.Event()
         self._write_finished = asyncio.Condition()
-        self._awaiting_commit: set[ExternalOperation] = set()  # wait to be recorded
+        self._awaiting_commit: set[ExternalOperation] = set()  # intended, to be recorded with the next write
 
     # -- reading -------------------------------------------------------------------------------
 
     async def load(self) -> None:
-        """Read what earlier holders intended; until this is known, nothing is placed and nothing is sent."""
+        """Read the log of earlier leaders, with retries; until that has succeeded nothing is placed or sent."""
         while not self.loaded:
             try:
                 item = await self.state.get(intent_record.INTENT_LOG_KEY, urgent=True)
             except (RequestRejected, OutcomeUnknown) as err:
-                log.debug("book of duties: %s", err)
+                log.debug("intent log: not read, retrying: error=%s", err)
                 await asyncio.sleep(constants.INTENT_LOG_RETRY_S)
                 continue
             self._version = item.version if item is not None else 0
@@ -81,30 +81,30 @@
                 try:
                     self._inherit(intent_record.decode(item.value))
                 except InvalidRecord as err:
-                    # Not written by this program. What it may have said is learnt from the list, as before the book.
-                    log.error("%s", err)
+                    # Not written by this program. What it may have recorded is learnt from the cloud's list.
+                    log.error("intent log: unreadable, starting anew: error=%s", err)
             self.loaded = True
 
     def _inherit(self, record: intent_record.IntentRecord) -> None:
-        now, today = monotonic_time(), wall_time()
+        now, wall_now = monotonic_time(), wall_time()
         for name in intent_record.unpack_names(record.deletions):
-            # What this holder has decided meanwhile, an earlier one has recorded already.
+            # A deletion that this leader has decided meanwhile may be recorded by an earlier one already.
             operation = self.deletions.setdefault(name, ExternalOperation(name, now, inherited=True))
             operation.move(OperationEvent.RECORD, now)
         for intent in record.rentals:
-            self.rentals[intent.name] = self._inherited_rental(record, intent, now, today)
+            self.rentals[intent.name] = self._inherited_rental(record, intent, now, wall_now)
         self.inherited = record
 
     def _inherited_rental(
-        self, record: intent_record.IntentRecord, intent: intent_record.RentalIntent, now: float, today: float
+        self, record: intent_record.IntentRecord, intent: intent_record.RentalIntent, now: float, wall_now: float
     ) -> ExternalOperation:
-        """A rental as an earlier holder recorded it. Raises InvalidRecord if its type or zone is not in the record."""
+        """A rental as an earlier leader recorded it. Raises InvalidRecord if its type or zone is not in the record."""
         if not (0 <= intent.type < len(record.types) and 0 <= intent.zone < len(record.zones)):
-            raise InvalidRecord(f"the book of duties: rental {intent.name} names no type or zone")
+            raise InvalidRecord(f"intent record: rental {intent.name} names no type or zone")
         request = Rent(
             intent.name, record.types[intent.type], record.zones[intent.zone], bool(intent.spot), intent.count
         )
-        intended_at = now - max(0.0, today - record.base_time - intent.at_s)
+        intended_at = now - max(0.0, wall_now - record.base_time - intent.at_s)
         operation = ExternalOperation(intent.name, intended_at, request, inherited=True)
         operation.move(OperationEvent.RECORD, now)
         if intent.machines is not None:
@@ -116,28 +116,28 @@
     # -- writing -------------------------------------------------------------------------------
 
     def intend(self, operation: ExternalOperation) -> ExternalOperation:
-        """Take an effect in, without recording it yet. The same machine's deletion is intended once."""
-        intent_log = self.rentals if operation.request is not None else self.deletions
-        return intent_log.setdefault(operation.name, operation)
+        """Add an operation without recording it yet; returns the one that is there if its name was added before."""
+        operations = self.rentals if operation.request is not None else self.deletions
+        return operations.setdefault(operation.name, operation)
 
     async def persist(self, operations: Iterable[ExternalOperation]) -> None:
-        """Return once all of these are committed under the fence; raises FenceLost if they never will be."""
-        waiting = {e for e in operations if e.state is OperationState.INTENDED}
+        """Return once all of these are committed under the fencing token. Raises FenceLost if they never will be."""
+        waiting = {operation for operation in operations if operation.state is OperationState.INTENDED}
         self._awaiting_commit |= waiting
         self._write_requested.set()
         async with self._write_finished:
-            while any(e.state is OperationState.INTENDED for e in waiting):
+            while any(operation.state is OperationState.INTENDED for operation in waiting):
                 if self.fence_lost:
                     raise FenceLost
                 await self._write_finished.wait()
 
     def complete(self, operation: ExternalOperation, now: float) -> None:
-        """Answered. Its end is written with what comes next, or a little later by itself."""
+        """Mark an operation as confirmed by the cloud; this is written with the next operation, or later by itself."""
         operation.move(OperationEvent.ANSWER, now)
         self._write_requested.set()
 
     def abandon(self, operation: ExternalOperation, now: float) -> None:
-        """Certainly not done."""
+        """Mark an operation as certainly not executed."""
         operation.move(
             OperationEvent.REFUSE if operation.state is OperationState.SENT else OperationEvent.WITHDRAW, now
         )
@@ -145,7 +145,7 @@
         self._write_requested.set()
 
     async def run(self) -> None:
-        """Write whenever something waits for it; what only ended, and the moments, when the budget leaves it over."""
+        """Write when operations wait for it; ends and failover hints alone are written with spare write budget only."""
         while not self.fence_lost:
             try:
                 async with asyncio.timeout(constants.INTENT_LOG_POLL_S):
@@ -156,20 +156,20 @@
             if not self.loaded:
                 continue
             if self._awaiting_commit:
-                await self._write(hurried=True)
+                await self._write(required=True)
             elif (
                 monotonic_time() - self._written_at >= constants.INTENT_LOG_WRITE_INTERVAL_S
                 and self.state.has_spare_writes(constants.START_WRITES_KEPT)
             ):
-                await self._write(hurried=False)
+                await self._write(required=False)
 
-    async def _write(self, hurried: bool) -> None:
-        held = self._operations_to_keep()
-        value = self._encode_record(held)
-        if not hurried and value == self._written:
+    async def _write(self, required: bool) -> None:
+        operations = self._operations_to_keep()
+        value = self._encode_record(operations)
+        if not required and value == self._written:
             return
-        # Every write of a duty is conditional on the leadership key at its revision (invariant 1), and on the book's
-        # own: a write of ours that is applied late fails, and is not taken for the newer one.
+        # Every write of a duty is conditional on the leadership key at its revision (invariant 1), and on the log's
+        # own: an earlier write of this node that is applied late fails, and does not replace a newer one.
         txn = state_messages.Transaction(
             [self.fence.condition(), state_messages.Condition(intent_record.INTENT_LOG_KEY, self._version)],
             [state_messages.Put(intent_record.INTENT_LOG_KEY, msgspec.Raw(value))],
@@ -177,52 +177,59 @@
         try:
             result = await self.state.commit(txn, max_wait=constants.INTENT_LOG_WAIT_S)
         except (RequestRejected, LeaseExpired) as err:
-            log.log(logging.WARNING if isinstance(err, InvalidRequest) else logging.DEBUG, "book of duties: %s", err)
+            level = logging.WARNING if isinstance(err, InvalidRequest) else logging.DEBUG
+            log.log(level, "intent log: write rejected: error=%s", err)
             await self._retry_later()
             return
         except OutcomeUnknown as err:
-            log.info("book of duties: write without an answer, reading again: %s", err)
-            await self._reread(value, held)
+            log.info("intent log: outcome of a write unknown, reading again: error=%s", err)
+            await self._reread(value, operations)
             return
         if isinstance(result, state_messages.Committed):
-            await self._committed(result.revision, value, held)
+            await self._committed(result.revision, value, operations)
         elif LEADER_KEY in result.failed:
             await self._fence_lost()
         else:
-            await self._reread(value, held)
+            await self._reread(value, operations)
 
-    async def _reread(self, value: bytes, held: list[ExternalOperation]) -> None:
-        """Was it applied? Only holders of the fence write the book, so its version tells."""
+    async def _reread(self, value: bytes, operations: list[ExternalOperation]) -> None:
+        """Read whether a write was applied; only the holder of the leadership key writes the log."""
         try:
             item = await self.state.get(intent_record.INTENT_LOG_KEY, urgent=True)
         except (RequestRejected, OutcomeUnknown):
             await self._retry_later()
             return
         if item is not None and bytes(item.value) == value:
-            await self._committed(item.version, value, held)
+            await self._committed(item.version, value, operations)
             return
         self._version = item.version if item is not None else 0
         await self._retry_later()
 
-    async def _committed(self, version: int, value: bytes, held: list[ExternalOperation]) -> None:
+    async def _committed(self, version: int, value: bytes, operations: list[ExternalOperation]) -> None:
         now = monotonic_time()
         self._version, self._written, self._written_at = version, value, now
-        recorded = any(e.state is OperationState.INTENDED for e in held)
-        for operation in held:
+        recorded_some = any(operation.state is OperationState.INTENDED for operation in operations)
+        for operation in operations:
             operation.move(OperationEvent.RECORD, now)
-        self._awaiting_commit = {e for e in self._awaiting_commit if e.state is OperationState.INTENDED}
-        kept = {e.name for e in held}
-        for intent_log in (self.rentals, self.deletions):
-            for name in [n for n, e in intent_log.items() if not e.is_open and n not in kept]:
-                del intent_log[name]
+        self._awaiting_commit = {
+            operation for operation in self._awaiting_commit if operation.state is OperationState.INTENDED
+        }
+        self._forget_ended({operation.name for operation in operations})
         async with self._write_finished:
             self._write_finished.notify_all()
-        if self._awaiting_commit and recorded:
+        if self._awaiting_commit and recorded_some:
             self._write_requested.set()
         elif self._awaiting_commit:
-            # The book is full. What waits comes in once something has ended; each try costs a change.
+            # The record is full. Waiting operations are added once others have ended; each attempt costs a change.
             await self._retry_later()
 
+    def _forget_ended(self, kept: set[str]) -> None:
+        """Drop the operations that have ended and are no longer in the record."""
+        for operations in (self.rentals, self.deletions):
+            ended = [name for name, operation in operations.items() if not operation.is_open and name not in kept]
+            for name in ended:
+                del operations[name]
+
     async def _retry_later(self) -> None:
         await asyncio.sleep(constants.INTENT_LOG_RETRY_S)
         self._write_requested.set()
@@ -232,10 +239,10 @@
         async with self._write_finished:
             self._write_finished.notify_all()
 
-    # -- the page ------------------------------------------------------------------------------
+    # -- the record ----------------------------------------------------------------------------
 
     def _operations_to_keep(self) -> list[ExternalOperation]:
-        """What the next page holds: all that is open, and what ended too lately for every list to show it."""
+        """The operations of the next record: the open ones, and those that ended too lately for every list to show."""
         now = monotonic_time()
         candidates = [
             operation
@@ -257,9 +264,13 @@
         What is recorded and open always fits, as it did when it was recorded. Then what waits, in the order of asking,
         then what has ended, the latest first.
         """
-        required = [e for e in operations if e.is_open and e.state is not OperationState.INTENDED]
-        intended = [e for e in operations if e.state is OperationState.INTENDED]
-        ended = [e for e in operations if not e.is_open]
+        required = [
+            operation
+            for operation in operations
+            if operation.is_open and operation.state is not OperationState.INTENDED
+        ]
+        intended = [operation for operation in operations if operation.state is OperationState.INTENDED]
+        ended = [operation for operation in operations if not operation.is_open]
         intended.sort(key=lambda operation: operation.intended_at)
         ended.sort(key=lambda operation: -operation.ended_at)
         return required, intended + ended
@@ -282,8 +293,8 @@
         )
 
     def _record_without_hints(self, operations: list[ExternalOperation]) -> intent_record.IntentRecord:
-        now, since_base = monotonic_time(), wall_time() - self._base
-        record = intent_record.IntentRecord(self._base, self.fence.term)
+        now, since_base = monotonic_time(), wall_time() - self._base_time
+        record = intent_record.IntentRecord(self._base_time, self.fence.term)
         types: dict[str, int] = {}
         zones: dict[str, int] = {}
         for operation in operations:
@@ -291,16 +302,18 @@
                 intended_at_s = round(since_base - (now - operation.intended_at))
                 record.rentals.append(_rental_intent(operation, operation.request, intended_at_s, types, zones))
         record.types, record.zones = list(types), list(zones)
-        record.deletions = intent_record.pack_names(e.name for e in operations if e.request is None)
+        record.deletions = intent_record.pack_names(
+            operation.name for operation in operations if operation.request is None
+        )
         return record
 
     def _encode_record(self, operations: list[ExternalOperation]) -> bytes:
         record = self._record_without_hints(operations)
-        bare = intent_record.encode(record)
+        without_hints = intent_record.encode(record)
         self._add_failover_hints(record)
-        noted = intent_record.encode(record)
-        # Moments are worth knowing, effects must be known: with too little room the moments are left out.
-        return noted if len(noted) <= self._most_bytes else bare
+        with_hints = intent_record.encode(record)
+        # Hints are optional, operations are not: with too little space the hints are left out.
+        return with_hints if len(with_hints) <= self._most_bytes else without_hints
 
 
 def _rental_intent(
--- a/winglift/duties/intent_record.py
+++ b/winglift/duties/intent_record.py
@@ -1,7 +1,7 @@
-"""The book's page: effects under way, and moments that a successor should know, packed into one value. Pure.
+"""The intent record: pending external operations and failover hints for a successor, packed into one value. Pure.
 
 Machine names share a beginning and a width, so runs of them are packed as ranges: `vm-000407` to `vm-000423` are
-`vm-|6|407-423`. A rental that is over keeps the machines that it brought until every list must show them.
+`vm-|6|407-423`. A settled rental keeps the machines that it brought until every list of the cloud must show them.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 from ..model.records import InvalidRecord, pack_ranges, unpack_ranges
 
-INTENT_LOG_KEY = "duty"  # the key of the book
-MAX_NAMES_IN_RANGE = 100_000  # machines in one range; more is not this program's writing
+INTENT_LOG_KEY = "duty"  # the key of the intent log in the state service
+MAX_NAMES_IN_RANGE = 100_000  # machines in one range; this program writes no larger one
 
 _NUMBERED = re.compile(r"(.*?)([0-9]{1,15})")
 
 
 class RentalIntent(msgspec.Struct, frozen=True, array_like=True):
-    """A rental as the book holds it."""
+    """A rental as the intent record holds it."""
 
     name: str
-    type: int  # place in `types`
-    zone: int  # place in `zones`
+    type: int  # index in `types`
+    zone: int  # index in `zones`
     spot: int
     count: int
-    at_s: int  # of the intent, after the page's `base`
-    machines: str | None = None  # what it brought, packed; None: no answer is known
+    at_s: int  # of the intent, in s after the record's `base_time`
+    machines: str | None = None  # that it brought, packed; None: no answer is known
 
 
 class IntentRecord(
@@ -50,27 +50,27 @@
         "failed_on": "f",
     },
 ):
-    """All times are times of day. What is missing is not known, and begins anew."""
+    """Stored value of the intent log. Times are times of day in s; a successor starts without the fields left out."""
 
-    base_time: float  # since this holder began
-    term: int  # of the holder that wrote it
+    base_time: float  # when the leader that wrote it began its term
+    term: int  # of the leader that wrote it
     types: list[str] = []
     zones: list[str] = []
     rentals: list[RentalIntent] = []
-    deletions: str = ""  # machines that some term has intended to delete, packed
-    draining: dict[str, str] = {}  # machine being emptied: why
+    deletions: str = ""  # machines that this or an earlier term intended to delete, packed
+    draining: dict[str, str] = {}  # machine being drained: reason
     capacity_refusals: list[tuple[str, str, bool, float]] = []  # type, zone, spot, until
     next_migration_at: float = 0.0
-    stopping_gangs: dict[str, int] = {}  # gang told to stop, of which parts may not have heard it: the attempt
-    reserved_for_gangs: dict[str, tuple[float, str]] = {}  # gang: since when room is being made for it, and where
-    failed_on: dict[str, list[str]] = {}  # job that looks mistaken: machines where it failed
+    stopping_gangs: dict[str, int] = {}  # gang whose stop may not have reached all workers: its attempt
+    reserved_for_gangs: dict[str, tuple[float, str]] = {}  # gang: since when capacity is reserved for it, and where
+    failed_on: dict[str, list[str]] = {}  # job suspected of failing by itself: machines where it failed
 
 
 _decoder = msgspec.json.Decoder(IntentRecord)
 
 
 def pack_names(names: Iterable[str]) -> str:
-    """Names as ranges where they end with a number of at most 15 digits; the others stand as they are."""
+    """Pack names as ranges where they end with a number of at most 15 digits; the others are quoted one by one."""
     groups: dict[tuple[str, int], list[int]] = {}
     plain: list[str] = []
     for name in names:
@@ -84,7 +84,7 @@
 
 
 def unpack_names(text: str) -> list[str]:
-    """Raises BadRecord for what `pack_names` does not write."""
+    """The names packed by `pack_names`. Raises InvalidRecord for text in another format."""
     names: list[str] = []
     try:
         for part in text.split(" ") if text else ():
@@ -104,13 +104,13 @@
 
 
 def decode(value: bytes | msgspec.Raw) -> IntentRecord:
-    """The page of a stored value. Raises BadRecord."""
+    """The intent record of a stored value. Raises InvalidRecord."""
     try:
         return _decoder.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
-        raise InvalidRecord(f"the book of duties: {err}") from None
+        raise InvalidRecord(f"intent record: {err}") from None
 
 
 def encode(record: IntentRecord) -> bytes:
-    """The value to be stored."""
+    """The value to be stored for an intent record."""
     return msgspec.json.encode(record)
--- a/winglift/store/batcher.py
+++ b/winglift/store/batcher.py
@@ -1,4 +1,8 @@
-"""Writes job records: several jobs in one transaction, each on its own revision, all fenced by leadership."""
+"""Writes job records in batches.
+
+A transaction holds the records of several jobs, each conditional on its own revision, and all on the leadership key
+(PROTOCOL, invariant 1).
+"""
 
 from __future__ import annotations
 
@@ -30,16 +34,16 @@
 
 
 def pack(job: Job) -> records.JobRecord:
-    """The record of a job as the leader sees it now."""
-    low, bits = records.pack_done(job.done)
+    """The record of a job in its present state."""
+    first_open, done_bitmap = records.pack_done(job.done)
     state = JobState.DONE if job.state is JobState.ENDING else job.state
     return records.JobRecord(
         submitted_at=job.submitted_at,
         spec=job.spec,
         state=state.value,
         next_attempt=job.next_attempt,
-        first_open=low,
-        done_bitmap=bits,
+        first_open=first_open,
+        done_bitmap=done_bitmap,
         assignments=records.pack_assignments(job.active),
         cancelled_at=job.cancelled_at,
     )
@@ -67,55 +71,57 @@
         self.most_ops = limits.txn_ops
         self.fence_lost = False  # the leader key has another revision
         self._running: set[asyncio.Task] = set()
-        self._waits: dict[str, float] = {}  # since when a change waits that is not urgent
+        self._waiting_since: dict[str, float] = {}  # job: time since which its change that is not urgent waits
         self._timer: asyncio.TimerHandle | None = None
         self.most_bytes = int(limits.value_kb * 1024)
 
     def fits(self, job: Job) -> bool:
-        """Does the job's record fit into one value of the state service?"""
+        """Does the job's record fit into one value of the state service, beside RECORD_SPARE_BYTES?"""
         return len(msgspec.json.encode(pack(job))) <= self.most_bytes - constants.RECORD_SPARE_BYTES
 
     def flush(self) -> None:
-        """Start as many transactions as there are changes, free slots and tokens. Urgent changes go first.
+        """Start as many transactions as changes, parallel slots and write budget allow, urgent changes first.
 
-        What can wait is written with tokens that starts and ends leave: at a change of progress per ended task,
-        arrays once used up all changes a second and starts queued behind them.
+        Progress is written with the budget that starts and ends leave over: with one change of progress for each ended
+        task, arrays once used up all changes a second, and starts queued behind them.
         """
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        # In an outage one try at a time finds out; packing hundreds of records for each refusal cost a core's tenth.
+        # In an outage one transaction at a time is the probe; packing hundreds of records for each rejection took
+        # a tenth of a core.
         parallel = constants.COMMIT_PARALLEL if self.state.health() is Health.GOOD else 1
         if self.fence_lost or len(self._running) >= parallel:
             return
         free = self.state.writes_free()
-        due, left = self._due(free, monotonic_time())
+        due, more_waiting = self._due(free, monotonic_time())
         while due and free >= 1 and len(self._running) < parallel:
             free -= self._send(due, min(self.most_ops, free))
-        if due or left:
+        if due or more_waiting:
             self.flush_soon()
 
     def flush_soon(self) -> None:
-        """Write what is due without waiting for the next cycle."""
+        """Schedule a flush FLUSH_AGAIN_S from now, without waiting for the next cycle."""
         if self._timer is None and not self.fence_lost:
             self._timer = asyncio.get_running_loop().call_later(constants.FLUSH_AGAIN_S, self.flush)
 
     def _due(self, free: int, now: float) -> tuple[list[Job], bool]:
-        """What is to be written now, most urgent first, and whether there is more that waits."""
-        dirty = [j for j in self.cluster.jobs.values() if j.pending_write and not j.write_in_flight]
-        due = [j for j in dirty if j.pending_write <= START]
-        due.sort(key=lambda j: (j.pending_write, -j.spec.priority.rank, j.submitted_at))
-        waiting = {j.ref: self._waits.get(j.ref, now) for j in dirty if j.pending_write > START}
-        self._waits = waiting
+        """The jobs to be written now, most urgent first, and whether changes that are not urgent wait."""
+        dirty = [job for job in self.cluster.jobs.values() if job.pending_write and not job.write_in_flight]
+        due = [job for job in dirty if job.pending_write <= START]
+        due.sort(key=lambda job: (job.pending_write, -job.spec.priority.rank, job.submitted_at))
+        deferrable = [job for job in dirty if job.pending_write > START]
+        waiting = {job.ref: self._waiting_since.get(job.ref, now) for job in deferrable}
+        self._waiting_since = waiting
         spare = free - len(due) - int(self.limits.write_rps * constants.START_WRITES_KEPT)
-        late = [j for j in dirty if j.pending_write > START and now - waiting[j.ref] >= constants.PROGRESS_AFTER_S]
-        late.sort(key=lambda j: waiting[j.ref])
-        # However busy the service is, or small its budget: what has waited this long is due like a start.
-        overdue = sum(now - waiting[j.ref] >= constants.PROGRESS_DELAY_MAX_S for j in late)
+        late = [job for job in deferrable if now - waiting[job.ref] >= constants.PROGRESS_AFTER_S]
+        late.sort(key=lambda job: waiting[job.ref])
+        # A change that has waited for PROGRESS_DELAY_MAX_S is due like a start, however small the budget is.
+        overdue = sum(now - waiting[job.ref] >= constants.PROGRESS_DELAY_MAX_S for job in late)
         return due + late[: max(overdue, spare)], bool(waiting)
 
     def _send(self, due: list[Job], most: int) -> int:
-        """One transaction with the first of what is due; how many changes it holds."""
+        """Start one transaction with the first of the jobs that are due; returns the number of its changes."""
         batch = self._take_batch(due, most)
         if not batch:
             return 0
@@ -145,7 +151,7 @@
             try:
                 condition, put = records.record_change(job.ref, job.version, job.committed_state, record)
             except records.FinalStateViolation as err:
-                log.error("not written: %s", err)
+                log.error("job record: not written, it is final: error=%s", err)
                 job.pending_write = 0
                 continue
             size += length
@@ -166,8 +172,8 @@
             self._mark_for_retry(batch)
             await asyncio.sleep(constants.WRITE_AGAIN_S)
         except OutcomeUnknown as err:
-            # It may have been executed or may yet be: read before deciding anything else.
-            log.info("write without an answer, reading again: %s", err)
+            # The transaction may have been executed or may yet be: read the records before deciding anything else.
+            log.info("job records: outcome of a write unknown, reading again: error=%s", err)
             self._mark_for_retry(batch)
             for write in batch:
                 await self._reread(write.job)
@@ -185,9 +191,11 @@
         if isinstance(err, InvalidRequest):
             # The service's limits may be smaller than the settings say: the same batch would never get through.
             self.most_ops = max(1, len(batch) // 2)
-            log.warning("write of %d records refused, fewer at once from now on: %s", len(batch), err)
+            log.warning(
+                "job records: batch rejected as invalid, batches made smaller: records=%d error=%s", len(batch), err
+            )
         else:
-            log.debug("write refused: %s", err)
+            log.debug("job records: write rejected: error=%s", err)
 
     async def _resolve_conflict(
         self, batch: list[_RecordWrite], conflict: state_messages.Conflict
@@ -197,7 +205,7 @@
         if records.LEADER_KEY in conflict.failed:
             self.fence_lost = True
             return batch
-        # The others' changes are sound: they are not held up by the reading.
+        # The other records did not conflict: they may be written again before the conflicting ones have been read.
         stale = [write for write in batch if records.JOB_PREFIX + write.job.ref in conflict.failed]
         self._release(write.job for write in batch if write not in stale)
         for write in stale:
@@ -205,7 +213,7 @@
         return stale
 
     def _release(self, jobs: Iterable[Job]) -> None:
-        """These jobs' writes are over: what others changed meanwhile is taken in, and they may be written again."""
+        """End the writes of these jobs: apply what others changed meanwhile, and allow the next write."""
         for job in jobs:
             job.write_in_flight = False
             if job.deferred_change is not None:
@@ -232,14 +240,14 @@
             apply_record(self.cluster, job.ref, item.version, records.decode(item.value), monotonic_time())
 
     def stop(self) -> None:
-        """Write nothing more in this term."""
+        """Start no more transactions in this term."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         self.fence_lost = True
 
     def reject(self, job: Job, now: float, keep: int) -> None:
-        """Take back proposals that would not fit into the record."""
-        proposed = [t for t in job.active.values() if t.state is TaskState.PROPOSED]
+        """Reject all but the first `keep` proposed tasks of a job: the others would not fit into its record."""
+        proposed = [task for task in job.active.values() if task.state is TaskState.PROPOSED]
         for task in proposed[keep:]:
             self.cluster.transition_and_release(task, TaskEvent.REJECT, now)
--- a/winglift/store/client.py
+++ b/winglift/store/client.py
@@ -1,4 +1,8 @@
-"""Client of the state service, within its budget. Says what is known, and what is not."""
+"""Client of the state service (PROTOCOL, "Controller nodes -> state service"), within its rate budgets.
+
+Every request ends with an answer, or with an error that says whether it may have been executed: RequestRejected (it was
+not) or OutcomeUnknown (it may have been, or may yet be).
+"""
 
 from __future__ import annotations
 
@@ -20,6 +24,11 @@
 log = logging.getLogger(__name__)
 
 
+LIST_TIMEOUT_S = 3.0  # for one part of a listing
+LONG_QUEUE_S = 2.0  # longest wait for rate budget of listings and watches, which no user waits for
+WATCH_GRACE_S = 2.0  # past the time for which the service may hold back the answer to a watch
+
+
 class StateServiceError(Exception):
     """A request to the state service that has not brought the answer asked for."""
 
@@ -33,11 +42,11 @@
 
 
 class OutcomeUnknown(StateServiceError):
-    """No answer: the request may have been executed, or may yet be."""
+    """No answer, or none that can be read: the request may have been executed, or may yet be."""
 
 
 class LeaseExpired(StateServiceError):
-    """The lease of a request has ended."""
+    """The lease that a request names has expired or was revoked; the request was not executed."""
 
 
 class RevisionCompacted(StateServiceError):
@@ -45,27 +54,27 @@
 
 
 class Health(Enum):
-    """How the state service has answered this node lately."""
+    """Availability of the state service, as seen by this node."""
 
     GOOD = "good"
     DOUBTFUL = "doubtful"
     DOWN = "down"
 
 
-_page = msgspec.json.Decoder(state_messages.Page)
-_item = msgspec.json.Decoder(state_messages.Item)
-_committed = msgspec.json.Decoder(state_messages.Committed)
-_conflict = msgspec.json.Decoder(state_messages.Conflict)
-_grant = msgspec.json.Decoder(state_messages.Grant)
-_changes = msgspec.json.Decoder(state_messages.Changes)
+_listing_decoder = msgspec.json.Decoder(state_messages.Page)
+_item_decoder = msgspec.json.Decoder(state_messages.Item)
+_committed_decoder = msgspec.json.Decoder(state_messages.Committed)
+_conflict_decoder = msgspec.json.Decoder(state_messages.Conflict)
+_grant_decoder = msgspec.json.Decoder(state_messages.Grant)
+_changes_decoder = msgspec.json.Decoder(state_messages.Changes)
 
 
 def _decode(decoder: Any, body: bytes) -> Any:
     try:
         return decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
-        # Said aloud: an answer that is never understood once stayed hidden among passing failures.
-        log.warning("odd answer of the state service: %s", err)
+        # Logged as a warning: an answer that is never understood once stayed hidden among passing failures.
+        log.warning("state service: unreadable answer: error=%s", err)
         raise OutcomeUnknown(f"odd answer of the state service: {err}") from None
 
 
@@ -78,30 +87,30 @@
         self._nodes = nodes
         self._reads = Budget(limits.rps, limits.rps)
         self._writes = Budget(limits.write_rps, limits.write_rps)
-        self._bad_since: float | None = None
+        self._failing_since: float | None = None
         self._next_probe = 0.0
         self.set_leading(False)
 
     def follower_share(self) -> float:
-        """The part of the budget that a node has which does not lead."""
+        """The part of the service's budget, 0 to 1, that each follower may use."""
         return (1 - constants.LEADER_SHARE) / (self._nodes - 1) if self._nodes > 1 else 1.0
 
     def set_leading(self, leads: bool) -> None:
-        """All nodes share the service's budget: the leader takes the larger part."""
+        """Resize this node's rate budgets: all nodes share the service's, and the leader takes the larger part."""
         share = (constants.LEADER_SHARE if self._nodes > 1 else 1.0) if leads else self.follower_share()
         now = monotonic_time()
         self._reads.resize(max(2.0, self._limits.rps * share), max(2.0, self._limits.rps * share), now)
         if self._nodes > 1:
             share = constants.LEADER_WRITE_SHARE if leads else (1 - constants.LEADER_WRITE_SHARE) / (self._nodes - 1)
-        # A follower writes seldom, but then for many users at once: it may save up more than its part of a second.
+        # A follower writes seldom, but then for many users at once: its burst may exceed its share of a second.
         burst = share if leads or self._nodes == 1 else max(share, constants.FOLLOWER_WRITE_BURST)
-        # However small the budget, one change with what is kept for users must fit into the burst.
+        # However small the budget, one change must fit into the burst beside what is reserved for users.
         self._writes.resize(max(1.0, self._limits.write_rps * share), max(1.5, self._limits.write_rps * burst), now)
 
     def writes_free(self) -> int:
-        """Changes of the leader's records that could be sent at once; a few stay for users who submit here.
+        """Number of changes that the leader could commit now; a few are reserved for users who submit at this node.
 
-        Batches once took every token as it came, and submissions at the leader waited or were refused.
+        Without the reserve, batches took every token as it came, and submissions at the leader waited or were refused.
         """
         kept = min(constants.SUBMIT_WRITES_KEPT, self._writes.burst * constants.SUBMIT_WRITES_SHARE)
         return max(0, int(self._writes.free(monotonic_time()) - kept))
@@ -117,24 +126,26 @@
 
     def health(self) -> Health:
         """GOOD until a request fails, DOWN once all have failed for STATE_DOWN_AFTER_S."""
-        if self._bad_since is None:
+        if self._failing_since is None:
             return Health.GOOD
-        if monotonic_time() - self._bad_since < constants.STATE_DOWN_AFTER_S:
+        if monotonic_time() - self._failing_since < constants.STATE_DOWN_AFTER_S:
             return Health.DOUBTFUL
         return Health.DOWN
 
-    def _record_outcome(self, good: bool) -> None:
+    def _record_outcome(self, success: bool) -> None:
         now = monotonic_time()
-        if good:
-            if self._bad_since is not None and now - self._bad_since >= constants.STATE_DOWN_AFTER_S:
-                log.info("state service answers again after %.1f s", now - self._bad_since)
-            self._bad_since = None
-        elif self._bad_since is None:
-            self._bad_since = now
+        if success:
+            if self._failing_since is not None and now - self._failing_since >= constants.STATE_DOWN_AFTER_S:
+                log.info("state service: available again: outage_s=%.1f", now - self._failing_since)
+            self._failing_since = None
+        elif self._failing_since is None:
+            self._failing_since = now
 
     def _check_circuit(self) -> None:
-        """While the service is down, one request per STATE_PROBE_S finds out; the rest are refused at once,
-        so that users' connections don't pile up behind a service that does not answer."""
+        """Circuit breaker: while the service is down, let one request per STATE_PROBE_S through as a probe.
+
+        The others are rejected at once, so that users' connections don't pile up behind a service that does not answer.
+        """
         if self.health() is Health.DOWN:
             now = monotonic_time()
             if now < self._next_probe:
@@ -195,16 +206,19 @@
     async def get(
         self, key: str, timeout: float = constants.STATE_TIMEOUT_S, urgent: bool = False
     ) -> state_messages.Item | None:
-        """The item of a key, or None if there is none. Raises Refused or Unknown."""
+        """The item of a key, or None if there is none. Raises RequestRejected or OutcomeUnknown."""
         reply = await self._call("GET", f"/store/{quote(key)}", timeout=timeout, urgent=urgent)
         if reply.status == 404:
             return None
         if reply.status != 200:
             raise RequestRejected(f"state service: {reply.status} for {key}")
-        return _decode(_item, reply.body)
+        return _decode(_item_decoder, reply.body)
 
     async def list(self, prefix: str) -> tuple[list[state_messages.Item], int]:
-        """All keys with the prefix, and a revision that is not newer than any page of it."""
+        """All items whose keys have the prefix, and a revision that is not newer than any part of the listing.
+
+        Raises RequestRejected or OutcomeUnknown.
+        """
         items: list[state_messages.Item] = []
         revision = 0
         after = ""
@@ -212,16 +226,16 @@
             path = f"/store?prefix={quote(prefix)}&limit={constants.LIST_LIMIT}" + (
                 f"&after={quote(after)}" if after else ""
             )
-            reply = await self._call("GET", path, timeout=3.0, max_wait=2.0)
+            reply = await self._call("GET", path, timeout=LIST_TIMEOUT_S, max_wait=LONG_QUEUE_S)
             if reply.status != 200:
                 raise RequestRejected(f"state service: {reply.status} for a list")
-            page = _decode(_page, reply.body)
-            # Watching from the first page's revision sees again what changed during the listing.
-            revision = revision or page.revision
-            items += page.items
-            if not page.more or not page.items:
+            listing = _decode(_listing_decoder, reply.body)
+            # Watching from the first part's revision sees again what changed during the listing.
+            revision = revision or listing.revision
+            items += listing.items
+            if not listing.more or not listing.items:
                 return items, revision
-            after = page.items[-1].key
+            after = listing.items[-1].key
 
     async def commit(
         self,
@@ -230,13 +244,16 @@
         max_wait: float = constants.MAX_QUEUE_S,
         urgent: bool = False,
     ) -> state_messages.Committed | state_messages.Conflict:
-        """Carry out a transaction. Raises Refused (not executed), Unknown (perhaps, or yet to be), LeaseGone."""
+        """Execute a compare-and-swap transaction; a Conflict names the keys whose revisions were not as expected.
+
+        Raises RequestRejected (not executed), OutcomeUnknown (perhaps executed, or yet to be) or LeaseExpired.
+        """
         body = msgspec.json.encode(txn)
         reply = await self._call("POST", "/commit", body, timeout, max_wait, len(txn.changes), urgent)
         if reply.status == 200:
-            return _decode(_committed, reply.body)
+            return _decode(_committed_decoder, reply.body)
         if reply.status == 409:
-            return _decode(_conflict, reply.body)
+            return _decode(_conflict_decoder, reply.body)
         if reply.status == 400 and b"lease" in reply.body:
             raise LeaseExpired
         if reply.status in (400, 413):
@@ -244,16 +261,16 @@
         raise RequestRejected(f"state service: {reply.status} {reply.body[:200]!r}")
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """A new lease that lives for `ttl_s` without a renewal."""
+        """Grant a new lease that lasts for `ttl_s` seconds without a renewal; returns its number."""
         body = msgspec.json.encode(state_messages.GrantRequest(int(ttl_s * 1000)))
         reply = await self._call("POST", "/grants", body, urgent=True)
         if reply.status not in (200, 201):
             raise RequestRejected(f"state service: {reply.status} for a lease")
-        return _decode(_grant, reply.body).lease
+        return _decode(_grant_decoder, reply.body).lease
 
     async def renew_lease(self, lease: int, timeout: float) -> None:
-        """Renew a lease. Raises LeaseGone if it has ended."""
-        # Renewals skip the budget: a leader must not lose its lease to its own bookkeeping.
+        """Renew a lease. Raises LeaseExpired if it has ended."""
+        # Renewals skip the rate budget: a leader must not lose its lease to its own record writes.
         reply = await self._call("POST", f"/grants/{lease}/touch", b"{}", timeout=timeout, urgent=True)
         if reply.status == 404:
             raise LeaseExpired
@@ -261,20 +278,23 @@
             raise RequestRejected(f"state service: {reply.status} for a renewal")
 
     async def revoke_lease(self, lease: int) -> None:
-        """End a lease, and with it the keys attached to it."""
+        """Revoke a lease; the service deletes the keys attached to it."""
         await self._call("DELETE", f"/grants/{lease}", urgent=True)
 
     async def changes(
         self, prefix: str, after: int, block_ms: int = constants.WATCH_BLOCK_MS
     ) -> state_messages.Changes:
-        """What has changed since; with `block_ms` above 0 this waits for a change."""
+        """The changes under a prefix since revision `after`; with `block_ms` above 0 the service waits for one.
+
+        Raises RevisionCompacted if the service no longer keeps them.
+        """
         path = f"/changes?prefix={quote(prefix)}&after={after}&blockMs={block_ms}"
         if block_ms:
-            reply = await self._call("GET", path, timeout=block_ms / 1000 + 2.0, max_wait=2.0)
+            reply = await self._call("GET", path, timeout=block_ms / 1000 + WATCH_GRACE_S, max_wait=LONG_QUEUE_S)
         else:
             reply = await self._call("GET", path, timeout=constants.STATUS_TIMEOUT_S)
         if reply.status == 410:
             raise RevisionCompacted
         if reply.status != 200:
             raise RequestRejected(f"state service: {reply.status} for a watch")
-        return _decode(_changes, reply.body)
+        return _decode(_changes_decoder, reply.body)
--- a/winglift/store/election.py
+++ b/winglift/store/election.py
@@ -1,7 +1,7 @@
-"""Election of the leader by a lease of the state service. The term is the workers' token.
+"""Leader election by a lease of the state service. The term is the fencing token that workers check.
 
-Its few requests skip the budget: after all nodes ended, 130 users' first polls a node once filled the queue for a
-follower's 16 requests a second, and nobody could campaign.
+Its few requests skip the rate budget: after a restart of all nodes, 130 users' first polls a node once filled the queue
+for a follower's 16 requests a second, and nobody could campaign.
 """
 
 from __future__ import annotations
@@ -21,12 +21,17 @@
 
 log = logging.getLogger(__name__)
 
-_leader = msgspec.json.Decoder(LeaderRecord)
-_term = msgspec.json.Decoder(TermRecord)
+_leader_decoder = msgspec.json.Decoder(LeaderRecord)
+_term_decoder = msgspec.json.Decoder(TermRecord)
+
+
+RENEWAL_TIMEOUT_S = 1.0
+RENEWAL_RETRY_S = 0.25  # after a renewal that failed
+RENEWAL_PAUSE_MIN_S = 0.05  # between two renewals, however long the first one took
 
 
 class Election:
-    """Campaigns for, renews and gives up the leadership of this node."""
+    """Campaigns for, renews and resigns the leadership of this node (PROTOCOL, invariant 1)."""
 
     def __init__(self, state: StateClient, node: str, on_change: Callable[[], None]) -> None:
         self.state = state
@@ -36,7 +41,7 @@
         self.known_leader = ""
         self._on_change = on_change
         self._pause_until = 0.0
-        self._first_look = True
+        self._first_read = True
         self.campaign_requested = asyncio.Event()
         self._rng = current_runtime().random_source()
 
@@ -49,7 +54,7 @@
                 else:
                     await self._follow()
             except (RequestRejected, OutcomeUnknown) as err:
-                log.debug("election: %s", err)
+                log.debug("election: request failed: error=%s", err)
                 if self.leadership.role is Role.CAMPAIGNING:
                     self.leadership.move(RoleEvent.LOST)
                 await asyncio.sleep(constants.CAMPAIGN_POLL_S)
@@ -59,54 +64,54 @@
     async def _renew(self) -> None:
         sent = monotonic_time()
         try:
-            await self.state.renew_lease(self.leadership.lease, timeout=1.0)
+            await self.state.renew_lease(self.leadership.lease, timeout=RENEWAL_TIMEOUT_S)
         except LeaseExpired:
             self.step_down("the lease has ended")
             return
         except (RequestRejected, OutcomeUnknown) as err:
-            log.debug("renewal: %s", err)
+            log.debug("election: lease renewal failed: error=%s", err)
             self.check_lease()
-            await asyncio.sleep(0.25)
+            await asyncio.sleep(RENEWAL_RETRY_S)
             return
         if self.leadership.role in (Role.LEADER, Role.DOUBTFUL):
             self.leadership.extend_lease(sent, constants.LEADER_LEASE_S)
             if self.leadership.role is Role.DOUBTFUL:
-                log.info("leads term %d again: the lease held", self.leadership.term)
+                log.info("election: leading again, lease renewed: term=%d", self.leadership.term)
             self.leadership.move(RoleEvent.RENEWED)
-        await asyncio.sleep(max(0.05, constants.LEADER_RENEW_S - (monotonic_time() - sent)))
+        await asyncio.sleep(max(RENEWAL_PAUSE_MIN_S, constants.LEADER_RENEW_S - (monotonic_time() - sent)))
 
     def check_lease(self) -> None:
-        """Doubt the own leadership once its lease may have run out by the own clock."""
+        """Mark this node's leadership as doubtful once its lease may have expired by this node's clock."""
         if self.leadership.role is Role.LEADER and monotonic_time() >= self.leadership.valid_until:
             self.leadership.move(RoleEvent.OVERDUE)
-            log.info("term %d in doubt: the lease was not renewed in time", self.leadership.term)
+            log.info("election: leadership in doubt, lease not renewed in time: term=%d", self.leadership.term)
 
     def step_down(self, why: str) -> None:
-        """Lead no more, whatever the lease says."""
+        """Become a follower, whatever the state of the lease; `why` is logged."""
         if self.leadership.role is Role.FOLLOWER:
             return
-        log.info("no longer leads term %d: %s", self.leadership.term, why)
+        log.info("election: no longer leading: term=%d reason=%s", self.leadership.term, why)
         self.leadership.move(RoleEvent.LOST)
         self.state.set_leading(False)
         self._on_change()
 
     async def resign(self, why: str) -> None:
-        """Hand over: end the lease at once and let the others try first."""
+        """Hand over: revoke the lease at once and let the other nodes campaign first."""
         lease = self.leadership.lease
         self._pause_until = monotonic_time() + constants.RESIGN_PAUSE_S
         self.step_down(why)
         try:
             await self.state.revoke_lease(lease)
         except (RequestRejected, OutcomeUnknown):
-            log.debug("the lease could not be ended; it runs out")
+            log.debug("election: lease could not be revoked, it expires")
 
     # -- following -----------------------------------------------------------------------------
 
     async def expire_lease_of(self, node: str) -> None:
-        """End the lease of a leader whose process seems to be gone, so that another can follow at once.
+        """Revoke the lease of a leader whose process seems to have ended, so that another node can lead at once.
 
-        A mistake costs a handover and nothing else: what a leader without its key decides can't be committed,
-        what it sends of earlier decisions is in the records, and workers obey the higher term only.
+        A mistake costs a change of the leader and nothing else: what a leader without its key decides can't be
+        committed, what it sends of earlier decisions is in the records, and workers obey the higher term only.
         """
         if self.leadership.role is not Role.FOLLOWER:
             return
@@ -114,25 +119,25 @@
             item = await self.state.get(LEADER_KEY, urgent=True)
             if item is None or item.lease is None:
                 return
-            record = _leader.decode(item.value)
+            record = _leader_decoder.decode(item.value)
             if record.node == node and record.term >= self.known_term:
-                log.info("%s seems to be gone: ends the lease of term %d", node, record.term)
+                log.info("election: leader seems to have ended, revoking its lease: node=%s term=%d", node, record.term)
                 await self.state.revoke_lease(item.lease)
                 self.campaign_requested.set()
         except (RequestRejected, OutcomeUnknown) as err:
-            log.debug("succession: %s", err)
+            log.debug("election: lease of another node not revoked: error=%s", err)
 
     async def _follow(self) -> None:
         item = await self.state.get(LEADER_KEY, urgent=True)
-        first, self._first_look = self._first_look, False
+        first, self._first_read = self._first_read, False
         if item is not None:
-            record = _leader.decode(item.value)
+            record = _leader_decoder.decode(item.value)
             self.known_term = max(self.known_term, record.term)
             self.known_leader = record.node
             if first and record.node == self.node and item.lease is not None:
-                # The leader was this node, before its process ended: nobody need wait until its lease runs out. Only a
-                # process's first look tells this; two nodes of one name would end each other's leases for ever.
-                log.info("led term %d before it ended: ends that lease", record.term)
+                # The leader was an earlier process of this node: nobody need wait until its lease expires. Only a
+                # process's first read shows this: two nodes of one name would revoke each other's leases for ever.
+                log.info("election: revoking the lease of an earlier process: term=%d", record.term)
                 await self.state.revoke_lease(item.lease)
                 return
         elif monotonic_time() >= self._pause_until:
@@ -152,7 +157,7 @@
         sent = monotonic_time()
         lease = await self.state.grant_lease(constants.LEADER_LEASE_S)
         item = await self.state.get(TERM_KEY, urgent=True)
-        last = _term.decode(item.value).term if item else 0
+        last = _term_decoder.decode(item.value).term if item else 0
         version = item.version if item else 0
         term = last + 1
         # Both keys are compared: one leader at a time, and a term that only ever rises (invariant 1).
@@ -187,7 +192,7 @@
         # would end while the lease renewed here is another.
         if found is None or found.lease != lease:
             return 0
-        return found.version if _leader.decode(found.value) == LeaderRecord(term, self.node) else 0
+        return found.version if _leader_decoder.decode(found.value) == LeaderRecord(term, self.node) else 0
 
     def _become_leader(self, term: int, lease: int, revision: int, sent: float) -> None:
         """Lead `term`. The lease counts from `sent`, the time at which it was asked for."""
@@ -197,5 +202,5 @@
         self.leadership.move(RoleEvent.WON)
         self.known_term, self.known_leader = term, self.node
         self.state.set_leading(True)
-        log.info("leads term %d", term)
+        log.info("election: leading: term=%d", term)
         self._on_change()
--- a/winglift/store/image_cache_snapshots.py
+++ b/winglift/store/image_cache_snapshots.py
@@ -1,4 +1,4 @@
-"""Keeps the leader's knowledge of images in the state service, with what its budget leaves over."""
+"""Snapshots of the machines' image caches in the state service, written with spare write budget only."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ImageCacheSnapshots:
-    """Keeps which machine holds which image in the state service, for a start after all nodes ended."""
+    """Writes and loads the snapshots: which machine holds which image, for a start after all nodes ended."""
 
     def __init__(self, state: StateClient, limits: State, leadership: Leadership, fence: Fence) -> None:
         self.state = state
@@ -34,7 +34,7 @@
         self._next = monotonic_time() + constants.IMAGE_CACHE_SNAPSHOT_S
 
     def due(self, now: float) -> bool:
-        """Is there time and budget to write? Never while starts or users may need it."""
+        """Is a snapshot due, and is there budget for it that neither starts nor users need?"""
         return (
             now >= self._next
             and (self._task is None or self._task.done())
@@ -42,7 +42,7 @@
         )
 
     def save(self, images: Mapping[str, Mapping[str, float]], now: float) -> None:
-        """Write the images of all machines, as far as they fit into IMAGE_CACHE_RECORDS values."""
+        """Start to write the images of all machines, as far as they fit into IMAGE_CACHE_RECORDS values."""
         self._next = now + constants.IMAGE_CACHE_SNAPSHOT_S
         records = image_cache_record.pack(images, int(self.limits.value_kb * 1024) - constants.RECORD_SPARE_BYTES)
         changed = {key: value for key, value in records.items() if self._written.get(key) != value}
@@ -50,7 +50,7 @@
             self._task = asyncio.ensure_future(self._write(changed))
 
     def stop(self) -> None:
-        """Write nothing more in this term."""
+        """Cancel a write that is under way; none follows in this term."""
         if self._task is not None:
             self._task.cancel()
 
@@ -58,7 +58,7 @@
         keys = list(records)
         try:
             while keys and self.leadership.entitled(monotonic_time()):
-                # A few at a time, and only from what starts and users leave.
+                # A few records at a time, and only from the budget that starts and users leave over.
                 most = min(
                     int(self.state.writes_free() - self.limits.write_rps * constants.START_WRITES_KEPT),
                     self.limits.txn_ops,
@@ -67,23 +67,23 @@
                 if most < 1:
                     await asyncio.sleep(constants.WRITE_AGAIN_S)
                     continue
-                part, keys = keys[:most], keys[most:]
-                # As every leader write, on the leadership key at its revision (invariant 1).
+                batch, keys = keys[:most], keys[most:]
+                # Every leader write is conditional on the leadership key at its revision (invariant 1).
                 txn = state_messages.Transaction(
-                    [self.fence.condition()], [state_messages.Put(key, msgspec.Raw(records[key])) for key in part]
+                    [self.fence.condition()], [state_messages.Put(key, msgspec.Raw(records[key])) for key in batch]
                 )
                 if not isinstance(await self.state.commit(txn), state_messages.Committed):
                     return
-                self._written.update((key, records[key]) for key in part)
+                self._written.update((key, records[key]) for key in batch)
         except (RequestRejected, OutcomeUnknown, LeaseExpired) as err:
-            log.debug("images are not kept this time: %s", err)
+            log.debug("image cache snapshots: not written: error=%s", err)
 
     async def load(self) -> dict[str, dict[str, float]]:
-        """What an earlier leader kept; nothing if it can't be read now."""
+        """The snapshot of an earlier leader, by machine; empty if it can't be read now."""
         try:
             items, _ = await self.state.list(image_cache_record.PREFIX)
         except (RequestRejected, OutcomeUnknown) as err:
-            log.debug("images are not known: %s", err)
+            log.debug("image cache snapshots: not loaded: error=%s", err)
             return {}
         self._written = {item.key: bytes(item.value) for item in items}
         return image_cache_record.unpack(item.value for item in items)
--- a/winglift/store/read_cache.py
+++ b/winglift/store/read_cache.py
@@ -1,7 +1,8 @@
-"""What a node knows of the job records, brought up to date by one look at the changes for many questions at once.
+"""Read cache of job records with linearizable reads: one refresh serves many readers.
 
-Several hundred users poll every few seconds, far above the requests that the state service grants. A question waits
-for a look that is sent after it came: so its answer is as new as anything that any node has told by then (invariant 4).
+Several hundred users poll every few seconds, far above the requests that the state service grants. A read waits for a
+refresh that is sent after the read came: so its answer is as new as any answer that any node has given by then
+(invariant 4).
 """
 
 from __future__ import annotations
@@ -21,32 +22,32 @@
 
 log = logging.getLogger(__name__)
 
-T = TypeVar("T")
+Digest = TypeVar("Digest")
 
 
-class ReadCache(Generic[T]):
-    """Digests of job records, each answer as new as the question (linearizable reads)."""
+class ReadCache(Generic[Digest]):
+    """Digests of job records; each answer is at least as new as the read (linearizable, invariant 4)."""
 
     def __init__(
         self,
         state: StateClient,
-        digest: Callable[[str, records.JobRecord], T],
+        digest: Callable[[str, records.JobRecord], Digest],
         every_s: float,
         on_record: Callable[[str, int, records.JobRecord], None] = lambda ref, version, record: None,
     ) -> None:
         self.state = state
-        self._digest = digest  # what is kept of a record
-        self._on_record = on_record  # hears of each record that is newer than what was known
+        self._digest = digest  # makes what is cached of a record
+        self._on_record = on_record  # called for each record that is newer than the cached one
         self._every_s = every_s
-        self._known: OrderedDict[str, tuple[int, T]] = OrderedDict()
+        self._known: OrderedDict[str, tuple[int, Digest]] = OrderedDict()
         self._revision: int | None = None
-        self._next: asyncio.Task[None] | None = None  # the look that has not been sent yet
+        self._next: asyncio.Task[None] | None = None  # the refresh that has not been sent yet
         self._last_sent = 0.0
-        self._last_done = 0.0  # when the latest completed look was sent
+        self._last_done = 0.0  # when the latest completed refresh was sent
         self._listing = asyncio.Lock()
 
-    def add_record(self, ref: str, version: int, record: records.JobRecord) -> T:
-        """A record that is committed at this version; an older one changes nothing."""
+    def add_record(self, ref: str, version: int, record: records.JobRecord) -> Digest:
+        """Cache a record committed at this version; returns the digest of the newer of it and the cached one."""
         known = self._known.get(ref)
         if known is not None and known[0] >= version:
             return known[1]
@@ -58,14 +59,17 @@
             self._known.popitem(last=False)
         return digest
 
-    async def get(self, ref: str) -> T | None:
-        """The record's digest, as new as this call; None only by the state service's own word."""
+    async def get(self, ref: str) -> Digest | None:
+        """The record's digest, at least as new as this call; None only if the state service has no such record.
+
+        Raises RequestRejected or OutcomeUnknown.
+        """
         if ref in self._known or self._revision is None:
-            # From the first look on every change is seen, also one that happens while a record is read.
+            # From the first refresh on every change is seen, also one that happens while a record is read.
             await self._await_refresh()
             known = self._known.get(ref)
-            # A node that stood still between the look and this line would tell what was true before: another node may
-            # have told the user something newer meanwhile.
+            # A process that was paused between the refresh and this line would answer with an old state: another node
+            # may have given the user a newer one meanwhile.
             if monotonic_time() - self._last_done > constants.REFRESH_VALID_S:
                 raise RequestRejected("this node stood still")
             if known is not None:
@@ -77,10 +81,10 @@
         return None if item is None else self.add_record(ref, item.version, records.decode(item.value))
 
     async def _await_refresh(self) -> None:
-        """Wait for a look at the changes that is sent after this call."""
+        """Wait for a refresh that is sent after this call."""
         if self._next is None:
             self._next = asyncio.ensure_future(self._refresh())
-        # Who stops waiting must not stop the others' look.
+        # A reader that is cancelled must not cancel the refresh that others wait for.
         await asyncio.shield(self._next)
 
     async def _refresh(self) -> None:
@@ -95,12 +99,12 @@
                     await self._list()
                     self._last_done = max(self._last_done, sent)
                     return
-            # Another look has listed meanwhile, perhaps before this one was asked for: it sees what came after.
+            # Another refresh has listed meanwhile, perhaps before this one was asked for: it reads the changes since.
         revision = self._revision
         try:
             changes = await self.state.changes(records.JOB_PREFIX, revision, block_ms=0)
         except RevisionCompacted:
-            # What was missed is unknown, so nothing that is known can be trusted.
+            # The changes missed are unknown, so no cached record can be trusted.
             self._known.clear()
             self._revision = None
             raise RequestRejected("the changes asked for are no longer kept") from None
@@ -114,9 +118,9 @@
         self._last_done = max(self._last_done, sent)
 
     async def _list(self) -> None:
-        """Learn all records at once, instead of one by one as users first ask about them."""
+        """Load all records at once, instead of one by one as users first ask for them."""
         items, revision = await self.state.list(records.JOB_PREFIX)
-        # What was noted before the listing may have changed unseen; what is newer than it is seen from here on.
+        # Records cached before the listing may have changed unseen; what is newer than it, later refreshes will see.
         self._known = OrderedDict((ref, known) for ref, known in self._known.items() if known[0] > revision)
         for item in items:
             self._add_stored_value(item.key, item.version, item.value)
@@ -127,6 +131,6 @@
         try:
             self.add_record(ref, version, records.decode(value))
         except ValueError as err:
-            # Not written by this program (BadRecord is a ValueError): it must not stop the others' answers.
+            # Not written by this program (InvalidRecord is a ValueError): it must not fail the reads of other records.
             self._known.pop(ref, None)
-            log.error("record of %s: %s", ref, err)
+            log.error("job record: unreadable: job=%s error=%s", ref, err)
