--- a/tests/test_batcher.py
+++ b/tests/test_batcher.py
@@ -161,7 +161,7 @@
     assert max(state.sizes[-2:]) == 1 and states(cluster) == {TaskState.COMMITTED}
 
 
-def test_a_refused_write_is_repeated_and_starts_wait_for_it():
+def test_a_rejected_write_is_retried_and_starts_wait_for_it():
     state, cluster, batcher = prepared()
     state.outcomes = [RequestRejected("429")]
     batcher_states = states(cluster)
@@ -169,7 +169,7 @@
     assert batcher_states == {TaskState.PROPOSED} and states(cluster) == {TaskState.COMMITTED}
 
 
-def test_a_write_without_an_answer_is_read_and_its_places_are_kept():
+def test_after_a_write_with_unknown_outcome_the_record_is_read_and_its_assignments_are_kept():
     state, cluster, batcher = prepared()
     state.outcomes = [OutcomeUnknown("lost")]
     settle(batcher)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,4 +1,4 @@
-"""Duties and effects as state machines, the book's page, and the book at a state service that refuses and is late."""
+"""Duties and external operations as state machines, the intent record, and the intent log at a faulty state service."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 # -- state machines ----------------------------------------------------------------------------
 
 
-def test_the_end_of_a_duty_is_for_good_and_only_a_held_one_may_act():
+def test_final_states_of_a_duty_are_final_and_only_a_held_duty_may_act():
     for state, event in itertools.product(duty.DutyState, duty.DutyEvent):
         made = duty.Duty(DutyName.CLOUD_OPERATIONS, Fence(3, 77), state)
         after = made.move(event)
@@ -80,7 +80,7 @@
         )
 
 
-def test_no_effect_is_sent_before_it_is_recorded_but_what_a_cancellation_demands():
+def test_no_operation_is_sent_before_it_is_recorded_except_deletions_for_cancellations():
     for state, event in itertools.product(external_operation.OperationState, external_operation.OperationEvent):
         made = ExternalOperation("vm-1", 0.0, state=state)
         try:
@@ -98,7 +98,7 @@
         )
 
 
-# -- the page ----------------------------------------------------------------------------------
+# -- the intent record ----------------------------------------------------------------------------------
 
 NAMES = st.lists(
     st.one_of(
@@ -130,11 +130,11 @@
         intent_record.unpack_names("vm-|6|1-99999999999999")
 
 
-# -- the book ----------------------------------------------------------------------------------
+# -- the intent log ----------------------------------------------------------------------------------
 
 
 class Service:
-    """One key and its revision, and the leadership key; answers as it is told: fine, refused, lost, late."""
+    """One key and its revision, and the leadership key; answers as planned: fine, refused, lost, late."""
 
     def __init__(self) -> None:
         self.value: bytes | None = None
@@ -223,7 +223,7 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_write_of_a_replaced_holder_changes_nothing_after_its_successor_has_read(monkeypatch, guarded):
+def test_a_write_of_a_replaced_leader_changes_nothing_after_its_successor_has_read(monkeypatch, guarded):
     async def scenario() -> None:
         service = Service()
         if not guarded:
@@ -241,7 +241,7 @@
         if guarded:
             assert isinstance(service.apply(service.late[0]), state_messages.Conflict)
         else:
-            # Recorded after the successor had read: an effect that nobody else will ever know of.
+            # Recorded after the successor had read: an operation that no other node will ever know of.
             service.late[0].conditions[0] = made.fence.condition()
             assert isinstance(service.apply(service.late[0]), state_messages.Committed) and "t3-1" not in after.rentals
 
@@ -270,7 +270,7 @@
     simulated(scenario())
 
 
-def test_effects_that_come_together_share_a_write_and_too_many_wait_for_their_turn():
+def test_operations_requested_together_share_a_write_and_those_that_do_not_fit_wait():
     async def scenario() -> None:
         service = Service()
         made = intent_log(service)
@@ -300,7 +300,7 @@
     simulated(scenario())
 
 
-def test_what_a_rental_brought_stays_in_the_book_until_every_list_shows_it(monkeypatch):
+def test_machines_of_a_rental_stay_in_the_intent_log_until_every_list_shows_them(monkeypatch):
     async def scenario() -> None:
         clock = [1000.0]
         monkeypatch.setattr("winglift.duties.intent_log.monotonic_time", lambda: clock[0])
@@ -333,7 +333,7 @@
 @pytest.mark.parametrize(
     "value", [b"{}", b"[]", b'{"w":1.0,"t":1,"r":[["t1-1",4,0,0,1,0]]}', b'{"w":1.0,"t":1,"d":"|"}']
 )
-def test_a_book_that_this_program_did_not_write_says_nothing_and_is_written_anew(value):
+def test_an_intent_log_of_another_program_is_ignored_and_overwritten(value):
     async def scenario() -> None:
         service = Service()
         service.value, service.version = value, 5
--- a/tests/test_fences.py
+++ b/tests/test_fences.py
@@ -1,7 +1,7 @@
-"""Several controllers in simulated time: the holder of the duties stands still, crashes, has its messages held.
+"""Several controllers in simulated time: the leader is paused, crashes, or has its messages held back.
 
-At each step of what it does to the cloud, enumerated and not sampled: a first run tells the steps, each further run
-fails at one of them.
+The faults come at each step of its external operations, enumerated and not sampled: a first run lists the steps, each
+further run fails at one of them.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
     "twice",
     "after a third holder",
 ]
-PARTS = 4  # of the steps, so that they can be played side by side
+PARTS = 4  # of the steps, so that they can run in parallel
 STEPS = ("POST /commit", "POST /hosts", "POST /hosts/delete")
 
 
 class Run:
-    """One play: three jobs come at 5 s, two machines die at 32 s, three more come at 36 s; at one step it fails."""
+    """One scenario: three jobs come at 5 s, two machines die at 32 s, three more come at 36 s; at one step it fails."""
 
     def __init__(self, fault: str = "", at: int = -1, steps: int = 0) -> None:
         self.scene = scene = Scene(3, boot_s=6.0, run_s=8.0, lag_s=8.0)
@@ -79,7 +79,7 @@
         if step not in STEPS or key is None or key[0]["node"] != node or scene.loop.now < 5.0:
             return None
         if step == "POST /commit":
-            # Of the transactions those that write the book, and their answers.
+            # Only transactions that write the intent log, and their answers.
             if not answers and b'"duty"' in message.body:
                 self._writes += 1
             elif not answers or not self._writes:
@@ -97,7 +97,7 @@
                 host.steps_left = self.stop_after
             else:
                 host.stand_still()
-            # What was about to leave it leaves when it wakes: another one holds the duties by then, and no other node
+            # What was about to leave it leaves when it wakes: another node leads by then, and no other node
             # gets through to it for a while, so that it learns of that from nobody.
             cuts = [Cut(other, node, True) for other in scene.nodes if other != node]
             scene.net.cuts += cuts
@@ -115,7 +115,7 @@
             return None
         if self.fault in ("twice", "after a third holder"):
             scene.later(0.0, self._back, node)
-            # Its successor ends too, so that a third one holds the duties when the message comes (again).
+            # Its successor ends too, so that a third node leads when the message comes (again).
             scene.later(9.0, lambda: self._back(scene.leader()))
             return 25.0 if self.fault == "twice" else "hold"
         if self.fault == "held":
@@ -145,7 +145,7 @@
     return Run()
 
 
-def test_the_play_without_a_fault_breaks_nothing_and_repeats_to_the_byte():
+def test_the_scenario_without_a_fault_breaks_nothing_and_repeats_to_the_byte():
     run = plain()
     assert run.wrong() == [] and len(run.steps) > 10
     assert {what for _, _, what in run.steps} >= {*STEPS, "answer POST /hosts", "answer POST /hosts/delete"}
@@ -154,7 +154,7 @@
 
 @pytest.mark.parametrize("part", range(PARTS))
 @pytest.mark.parametrize("fault", FAULTS)
-def test_at_no_step_does_a_replaced_holder_rent_twice_or_strike_what_a_successor_placed(fault, part):
+def test_at_no_step_does_a_replaced_leader_rent_twice_or_delete_a_machine_in_use(fault, part):
     base = plain()
     wrong = {}
     for number, _, what in base.steps[part::PARTS]:
@@ -170,7 +170,7 @@
 # -- guards, each of which a test misses -------------------------------------------------------
 
 
-def test_without_the_record_before_the_call_the_play_shows_it(monkeypatch):
+def test_without_the_recorded_intent_the_scenario_breaks_a_rule(monkeypatch):
     async def persist(self, operations):
         for operation in operations:
             if operation.is_open:
@@ -180,19 +180,19 @@
     assert any("without a recorded intent" in fault for fault in Run().wrong())
 
 
-def test_a_holder_that_stands_still_between_any_two_of_its_steps_sends_nothing_when_it_wakes():
+def test_a_leader_paused_between_any_two_of_its_steps_sends_nothing_when_it_resumes():
     """Between the answer to its record and the call lie some callbacks; a message tells none of them apart."""
     for steps in range(1, 10):
         assert Run("stands still", 5, steps).wrong() == []
 
 
-def test_without_asking_for_the_lease_last_of_all_a_replaced_holder_calls_the_cloud(monkeypatch):
+def test_without_the_last_lease_check_a_replaced_leader_calls_the_cloud(monkeypatch):
     monkeypatch.setattr(LeaderTerm, "may_use_cloud", lambda self: True)
     assert Run("stands still", 5, 1).by_replaced
 
 
-def test_without_what_the_book_tells_a_successor_rents_a_second_time(monkeypatch):
-    """The call was answered, its holder ended, and no list shows the machines yet."""
+def test_without_the_intent_log_a_successor_rents_a_second_time(monkeypatch):
+    """The call was answered, the leader ended, and no list shows the machines yet."""
     base = plain().scene.cloud.rentals
     assert Run("crashes", 11).scene.cloud.rentals == base
     monkeypatch.setattr(Inventory, "resume_operations", lambda self, now: None)
@@ -201,13 +201,13 @@
 
 def test_without_the_lists_age_sound_machines_are_given_up(monkeypatch):
     """A list says nothing about what was rented after the time that it describes."""
-    base = plain().scene.cloud.rentals  # played before the guard is taken away, whichever test comes first
+    base = plain().scene.cloud.rentals  # run before the guard is taken away, whichever test comes first
     monkeypatch.setattr(constants, "INTENT_LOG_KEEP_MARGIN_S", -1000.0)
     assert Run("crashes", 3).scene.cloud.rentals > base + 10
 
 
-class Late:
-    """A deletion of an idle machine is held back on the way, its holder ends, a job comes, and then it arrives."""
+class LateDeletion:
+    """A deletion of an idle machine is held back, its sender crashes, a job comes, and then the deletion arrives."""
 
     def __init__(self) -> None:
         self.scene = scene = Scene(3, boot_s=6.0, run_s=8.0, lag_s=3.0)
@@ -233,15 +233,15 @@
         return "hold"
 
 
-def test_a_deletion_that_arrives_late_strikes_nothing_that_a_successor_has_placed():
-    run = Late()
+def test_a_late_deletion_hits_no_machine_on_which_a_successor_has_placed_a_task():
+    run = LateDeletion()
     assert run.ended and run.scene.broken == []
     assert [fault for fault in run.scene.loop.faults if "exception" in fault] == []
 
 
-def test_without_the_machines_that_an_earlier_term_meant_to_delete_it_does(monkeypatch):
+def test_without_the_deletions_of_an_earlier_term_a_late_deletion_hits_a_machine_in_use(monkeypatch):
     monkeypatch.setattr(Inventory, "resume_operations", lambda self, now: None)
-    assert any("placed after its deletion was intended" in fault for fault in Late().scene.broken)
+    assert any("placed after its deletion was intended" in fault for fault in LateDeletion().scene.broken)
 
 
 def test_an_outage_of_the_state_service_blocks_no_deletion_that_a_cancellation_demands():
@@ -252,16 +252,16 @@
     scene.submit("wk-900", pieces=2)
     assert scene.loop.run(lambda: any(w.tasks for w in scene.cloud.workers()), most_s=60.0)
     scene.loop.run(scene.loop.now + 2.0)
-    holder = next(name for name, (_, w, _) in scene.cloud.machines.items() if w is not None and w.tasks)
-    scene.net.cuts += [Cut(holder, "", True), Cut("", holder, True)]
+    machine = next(name for name, (_, w, _) in scene.cloud.machines.items() if w is not None and w.tasks)
+    scene.net.cuts += [Cut(machine, "", True), Cut("", machine, True)]
     scene.poll("wk-900", cancel=True)
     assert scene.loop.run(lambda: "wk-900" in scene.ended, most_s=10.0)
-    told = scene.loop.now
+    cancelled_at = scene.loop.now
     scene.state.down = True
-    assert scene.loop.run(lambda: holder not in scene.cloud.machines, most_s=60.0)
-    assert scene.loop.now - told < 35.0 and scene.broken == []
+    assert scene.loop.run(lambda: machine not in scene.cloud.machines, most_s=60.0)
+    assert scene.loop.now - cancelled_at < 35.0 and scene.broken == []
     assert all(
-        operation.name == holder or operation.state is OperationState.INTENDED
+        operation.name == machine or operation.state is OperationState.INTENDED
         for _, node in scene.nodes.values()
         if node.leader_term is not None
         for operation in node.leader_term.intent_log.deletions.values()
--- a/tests/test_garbage_collection.py
+++ b/tests/test_garbage_collection.py
@@ -22,7 +22,7 @@
 
 
 class Place:
-    """A holder of the clean-up beside a state service."""
+    """A node that holds the duty of garbage collection, and a state service."""
 
     def __init__(self) -> None:
         self.net = Network()
@@ -35,15 +35,15 @@
         self.state = self.host.context.run(StateClient, "10.1.0.1", 80, limits, 1)
         self.duties = Duties(self.leadership)
         self.duties.mark_ready(DutyName.GARBAGE_COLLECTION)
-        self.tidy = GarbageCollector(self.state, limits, self.duties)
+        self.collector = GarbageCollector(self.state, limits, self.duties)
         self.cluster = ClusterState(settings(), {"g4": TYPE}, 3)
 
     def put(self, key: str, value: object) -> None:
         self.net.loop.run(lambda: self.service.apply([{"write": key, "v": msgspec.to_builtins(value)}]) > 0)
 
-    def passes(self, looks: int = 1) -> None:
-        self.host.run(self.tidy.run())
-        self.net.loop.run(self.net.loop.now + looks * (constants.GC_INTERVAL_S + 5.0))
+    def passes(self, runs: int = 1) -> None:
+        self.host.run(self.collector.run())
+        self.net.loop.run(self.net.loop.now + runs * (constants.GC_INTERVAL_S + 5.0))
 
     def keys(self, prefix: str) -> set[str]:
         return {key for key in self.service.keys if key.startswith(prefix)}
@@ -57,10 +57,10 @@
     place.cluster.register_machine("vm-1", "g4", "a", False, 0.0, 0.0)
     for number, names in enumerate((["vm-1", "vm-2"], ["vm-3"], [])):
         place.put(f"{image_cache_record.PREFIX}{number}", images(*names))
-    place.tidy.sweepers.append(ImageCacheSweeper(place.state, place.cluster))
+    place.collector.sweepers.append(ImageCacheSweeper(place.state, place.cluster))
 
 
-def test_pages_that_name_no_machine_go_and_the_others_stay():
+def test_image_cache_records_without_existing_machines_are_removed_and_the_others_stay():
     place = Place()
     fill(place)
     place.passes()
@@ -68,10 +68,10 @@
 
 
 @pytest.mark.parametrize("what", ["written since", "replaced", "in doubt"])
-def test_a_late_clean_up_removes_nothing(what):
+def test_late_garbage_collection_removes_nothing(what):
     place = Place()
     fill(place)
-    place.host.run(place.tidy.run())
+    place.host.run(place.collector.run())
 
     def late(message):
         if message.what == "POST /commit":
@@ -95,7 +95,7 @@
     assert place.keys(image_cache_record.PREFIX) == {"image/0", "image/1", "image/2"}
 
 
-def test_steps_of_workflows_that_ended_a_week_ago_go_and_their_ends_stay():
+def test_steps_of_workflows_that_ended_a_week_ago_are_removed_and_their_final_states_stay():
     place = Place()
     old, new = EPOCH - constants.GC_FLOW_STEPS_AGE_S - 3600.0, EPOCH - 3600.0
     heads = {
@@ -110,8 +110,8 @@
         for number in range(10):
             place.put(f"{records.step_prefix(ref)}{number}", records.StepRecord(f"s{number}", How.DONE, ended))
     place.put(f"{records.HEAD}fl-5", {"foreign": 1})
-    place.tidy.sweepers.append(OldSteps(place.state))
-    place.passes(looks=1 + round(2 * constants.GC_FLOWS_INTERVAL_S / constants.GC_INTERVAL_S))
+    place.collector.sweepers.append(OldSteps(place.state))
+    place.passes(runs=1 + round(2 * constants.GC_FLOWS_INTERVAL_S / constants.GC_INTERVAL_S))
     left = {ref: len(place.keys(records.step_prefix(ref))) for ref in heads}
     assert left == {"fl-1": 0, "fl-2": 10, "fl-3": 10, "fl-4": 10}
     head = place.service.keys["flow/fl-1"][0]
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -41,7 +41,7 @@
         "duties/intent_log.py": 1,
         "duties/garbage_collection.py": 1,
     }
-    # By a duty's holder: on the fence that its term began with, and not on whatever this node holds by now.
+    # Leader writes are conditional on the fencing token that their term began with, and not on the present leadership.
     assert set(calls("condition")) == {
         "store/batcher.py",
         "store/image_cache_snapshots.py",
@@ -74,7 +74,7 @@
     assert texts("/commands") == {"workers/commands.py"}
 
 
-def test_one_door_leads_past_the_fence_and_it_is_asked_last():
+def test_unfenced_deletions_have_one_way_which_is_checked_last():
     """Deletions by a node that may not lead: of machines that cancelled jobs' records name, and of nothing else."""
     assert calls("delete_for_cancellation") == {"workers/cancellation_enforcement.py": 1}
     uses = {str(p.relative_to(ROOT)) for p in ROOT.rglob("*.py") if ".may_delete_unfenced" in p.read_text()}
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -81,8 +81,8 @@
 
 
 @pytest.mark.parametrize("pause_s", [0.0, 30.0])
-def test_an_answer_that_a_pause_has_made_old_is_not_told(clock, pause_s):
-    """Another node may have told the user meanwhile that the job is cancelled."""
+def test_an_answer_that_a_pause_has_made_stale_is_not_given(clock, pause_s):
+    """Another node may have answered the user meanwhile that the job is cancelled."""
 
     async def scenario() -> object:
         state = FakeState(random.Random(1))
@@ -106,14 +106,14 @@
 
 
 @given(st.lists(st.sampled_from([0.0, 1.0, 2.0, 8.0, 30.0, 90.0]), min_size=1, max_size=6))
-def test_a_node_that_woke_gives_no_commands_and_holds_no_silence_against_machines(pauses):
+def test_a_resumed_node_gives_no_commands_and_counts_no_silence_of_machines(pauses):
     """Its own pause is not the workers' silence; and what it knew of its lease it reads anew."""
     made, deleted = leader(True, [(f"vm-{i}", "a", 1000.0) for i in range(4)])
     leadership, now = made.election.leadership, 1000.0
     leadership.extend_lease(now, constants.LEADER_LEASE_S)
     assert made._may_decide(now)
 
-    async def look() -> None:
+    async def check() -> None:
         made._check_machines(now)
 
     for pause in pauses:
@@ -126,7 +126,7 @@
             leadership.extend_lease(now, constants.LEADER_LEASE_S)
             leadership.move(RoleEvent.RENEWED)
             assert made._may_decide(now)
-        asyncio.run(look())
+        asyncio.run(check())
         assert deleted == []
         for machine in made.cluster.machines.values():
             machine.last_heard = now
--- a/tests/test_read_cache.py
+++ b/tests/test_read_cache.py
@@ -75,7 +75,7 @@
 
 @hsettings(max_examples=400)
 @given(st.integers(0, 10_000), st.lists(st.tuples(st.sampled_from(STEPS), st.integers(0, 1)), min_size=20, max_size=60))
-def test_no_answer_is_older_than_the_question(seed, steps):
+def test_no_answer_is_older_than_the_read(seed, steps):
     async def scenario() -> None:
         state = FakeState(random.Random(seed))
         read_cache: ReadCache[int] = ReadCache(state, lambda ref, record: record.first_open, 0.0)  # type: ignore[arg-type]
