--- a/winglift/duties/__init__.py
+++ b/winglift/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that only one controller may do, and what they do to the outside: held under a fence, recorded before sent."""
+"""The leader's exclusive duties and their external operations: fenced, and recorded before they are sent."""
--- a/winglift/duties/duty.py
+++ b/winglift/duties/duty.py
@@ -20,9 +20,9 @@
 class DutyName(Enum):
     """The duties that only one controller may carry out."""
 
-    PLACEMENT = "placing"  # starts, stops, moves; reclaims capacity of lost machines and of borrowed work
-    CLOUD_OPERATIONS = "renting and returning"
-    GARBAGE_COLLECTION = "clean-up"
+    PLACEMENT = "placement"  # starts, stops, moves; reclaims capacity of lost machines and of borrowed work
+    CLOUD_OPERATIONS = "cloud operations"  # rentals and deletions of machines
+    GARBAGE_COLLECTION = "garbage collection"
 
 
 class DutyState(Enum):
@@ -89,7 +89,7 @@
         new_state = TRANSITIONS.get((self.state, event), self.state)
         if new_state is not self.state:
             log.debug(
-                "duty: state changed: duty=%s term=%d state=%s",
+                "duty: state changed: duty=%r term=%d state=%s",
                 self.name.value,
                 self.fence.term,
                 new_state.name.lower(),
--- a/winglift/duties/intent_log.py
+++ b/winglift/duties/intent_log.py
@@ -86,6 +86,7 @@
             self.loaded = True
 
     def _inherit(self, record: intent_record.IntentRecord) -> None:
+        """Take over the operations of an earlier leader. Raises InvalidRecord."""
         now, wall_now = monotonic_time(), wall_time()
         for name in intent_record.unpack_names(record.deletions):
             # A deletion that this leader has decided meanwhile may be recorded by an earlier one already.
@@ -164,6 +165,7 @@
                 await self._write(required=False)
 
     async def _write(self, required: bool) -> None:
+        """Write the record; unless `required`, only if it differs from the last one written."""
         operations = self._operations_to_keep()
         value = self._encode_record(operations)
         if not required and value == self._written:
@@ -206,6 +208,7 @@
         await self._retry_later()
 
     async def _committed(self, version: int, value: bytes, operations: list[ExternalOperation]) -> None:
+        """Mark the operations of a committed record as recorded, and wake the callers of `persist`."""
         now = monotonic_time()
         self._version, self._written, self._written_at = version, value, now
         recorded_some = any(operation.state is OperationState.INTENDED for operation in operations)
@@ -261,8 +264,8 @@
     ) -> tuple[list[ExternalOperation], list[ExternalOperation]]:
         """The operations that the record must hold, and the others in the order in which they are added to it.
 
-        What is recorded and open always fits, as it did when it was recorded. Then what waits, in the order of asking,
-        then what has ended, the latest first.
+        Recorded open operations always fit, as they did when they were recorded. Intended ones follow in the order of
+        their intents, then ended ones, the latest first.
         """
         required = [
             operation
@@ -287,6 +290,7 @@
         return low
 
     def _fits(self, operations: list[ExternalOperation]) -> bool:
+        """Do these operations fit into one record, beside FAILOVER_HINTS_BYTES for hints?"""
         return (
             len(intent_record.encode(self._record_without_hints(operations)))
             <= self._most_bytes - constants.FAILOVER_HINTS_BYTES
--- a/winglift/store/__init__.py
+++ b/winglift/store/__init__.py
@@ -1,1 +1,1 @@
-"""State service: client, job records, write batching, election."""
+"""State service: client, batched writes of job records, read cache, image cache snapshots, leader election."""
--- a/winglift/store/election.py
+++ b/winglift/store/election.py
@@ -62,6 +62,7 @@
     # -- leading -------------------------------------------------------------------------------
 
     async def _renew(self) -> None:
+        """Renew the lease once, and wait until the next renewal is due; step down if the lease has expired."""
         sent = monotonic_time()
         try:
             await self.state.renew_lease(self.leadership.lease, timeout=RENEWAL_TIMEOUT_S)
@@ -128,13 +129,14 @@
             log.debug("election: lease of another node not revoked: error=%s", err)
 
     async def _follow(self) -> None:
+        """Read the leadership key; campaign if there is none, else wait for the next poll or a request to campaign."""
         item = await self.state.get(LEADER_KEY, urgent=True)
-        first, self._first_read = self._first_read, False
+        is_first_read, self._first_read = self._first_read, False
         if item is not None:
             record = _leader_decoder.decode(item.value)
             self.known_term = max(self.known_term, record.term)
             self.known_leader = record.node
-            if first and record.node == self.node and item.lease is not None:
+            if is_first_read and record.node == self.node and item.lease is not None:
                 # The leader was an earlier process of this node: nobody need wait until its lease expires. Only a
                 # process's first read shows this: two nodes of one name would revoke each other's leases for ever.
                 log.info("election: revoking the lease of an earlier process: term=%d", record.term)
@@ -157,12 +159,12 @@
         sent = monotonic_time()
         lease = await self.state.grant_lease(constants.LEADER_LEASE_S)
         item = await self.state.get(TERM_KEY, urgent=True)
-        last = _term_decoder.decode(item.value).term if item else 0
-        version = item.version if item else 0
-        term = last + 1
+        last_term = _term_decoder.decode(item.value).term if item else 0
+        term_version = item.version if item else 0
+        term = last_term + 1
         # Both keys are compared: one leader at a time, and a term that only ever rises (invariant 1).
         txn = state_messages.Transaction(
-            [state_messages.Condition(LEADER_KEY, 0), state_messages.Condition(TERM_KEY, version)],
+            [state_messages.Condition(LEADER_KEY, 0), state_messages.Condition(TERM_KEY, term_version)],
             [
                 state_messages.Put(LEADER_KEY, LeaderRecord(term, self.node), lease),
                 state_messages.Put(TERM_KEY, TermRecord(term)),
@@ -188,8 +190,8 @@
     async def _own_leadership_revision(self, term: int, lease: int) -> int:
         """The leadership key's revision if it names this node, this term and this lease, else 0."""
         found = await self.state.get(LEADER_KEY, urgent=True)
-        # The lease tells it from what an earlier process of this node has sent, perhaps with the same term: that key
-        # would end while the lease renewed here is another.
+        # The lease tells this key from one that an earlier process of this node wrote, perhaps with the same term: that
+        # one would expire, since the lease renewed here is another.
         if found is None or found.lease != lease:
             return 0
         return found.version if _leader_decoder.decode(found.value) == LeaderRecord(term, self.node) else 0
--- a/winglift/store/read_cache.py
+++ b/winglift/store/read_cache.py
@@ -18,6 +18,7 @@
 from .. import constants
 from ..model import records
 from ..net.runtime import monotonic_time
+from ..wire import state as state_messages
 from .client import RequestRejected, RevisionCompacted, StateClient
 
 log = logging.getLogger(__name__)
@@ -88,6 +89,7 @@
         await asyncio.shield(self._next)
 
     async def _refresh(self) -> None:
+        """Read the changes since the last refresh, or list all records, at most once every `every_s` seconds."""
         pause = self._last_sent + self._every_s - monotonic_time()
         if pause > 0:
             await asyncio.sleep(pause)
@@ -99,7 +101,8 @@
                     await self._list()
                     self._last_done = max(self._last_done, sent)
                     return
-            # Another refresh has listed meanwhile, perhaps before this one was asked for: it reads the changes since.
+            # Another refresh has listed meanwhile, perhaps before this one was requested: this one goes on and reads
+            # the changes since that listing.
         revision = self._revision
         try:
             changes = await self.state.changes(records.JOB_PREFIX, revision, block_ms=0)
@@ -108,6 +111,10 @@
             self._known.clear()
             self._revision = None
             raise RequestRejected("the changes asked for are no longer kept") from None
+        self._apply_changes(changes)
+        self._last_done = max(self._last_done, sent)
+
+    def _apply_changes(self, changes: state_messages.Changes) -> None:
         for event in changes.events:
             if event.delete is not None:
                 self._known.pop(event.delete[len(records.JOB_PREFIX) :], None)
@@ -115,7 +122,6 @@
                 self._add_stored_value(event.put, event.version, event.value)
         if self._revision is not None:
             self._revision = max(self._revision, changes.revision)
-        self._last_done = max(self._last_done, sent)
 
     async def _list(self) -> None:
         """Load all records at once, instead of one by one as users first ask for them."""
