--- a/tests/test_batcher.py
+++ b/tests/test_batcher.py
@@ -100,7 +100,7 @@
         and [j.pending_write for j in cluster.jobs.values()] == [WritePriority.PROGRESS] * 3 + [0] * 3
     )
     state.tokens = 1000
-    batcher._waits = dict.fromkeys(batcher._waits, -100.0)
+    batcher._waiting_since = dict.fromkeys(batcher._waiting_since, -100.0)
     settle(batcher)
     assert state.sizes == [3, 3] and not any(j.pending_write for j in cluster.jobs.values())
 
@@ -136,7 +136,7 @@
     state, cluster, batcher = prepared(1)
     (job,) = cluster.jobs.values()
     job.pending_write = WritePriority.PROGRESS
-    batcher._waits = {job.ref: -100.0}
+    batcher._waiting_since = {job.ref: -100.0}
     state.tokens = 1
     settle(batcher)
     assert state.sizes == [1] and not job.pending_write
@@ -165,7 +165,7 @@
     assert max(state.sizes[-2:]) == 1 and states(cluster) == {TaskState.COMMITTED}
 
 
-def test_a_refused_write_is_repeated_and_starts_wait_for_it():
+def test_a_rejected_write_is_retried_and_starts_wait_for_it():
     state, cluster, batcher = prepared()
     state.outcomes = [RequestRejected("429")]
     batcher_states = states(cluster)
@@ -173,7 +173,7 @@
     assert batcher_states == {TaskState.PROPOSED} and states(cluster) == {TaskState.COMMITTED}
 
 
-def test_a_write_without_an_answer_is_read_and_its_places_are_kept():
+def test_after_a_write_with_unknown_outcome_the_record_is_read_and_its_assignments_are_kept():
     state, cluster, batcher = prepared()
     state.outcomes = [OutcomeUnknown("lost")]
     settle(batcher)
