--- a/winglift/controller/draining.py
+++ b/winglift/controller/draining.py
@@ -73,7 +73,7 @@
         downtime_s = constants.MIGRATION_DOWNTIME_S + self.workers.report_s / 2
         pause_s = downtime_s / (self.script.number("move_loss_share") * max(1, replicas))
         self.next_migration_at = now + min(pause_s, constants.MIGRATION_PAUSE_MAX_S)
-        self.cluster.request_stop(task, 0.0, now, "moved")
+        self.cluster.request_stop(task, 0.0, now, "migrated")
 
     def drain(self, now: float) -> None:
         """Stop tasks on draining machines, early enough to save their work before the machine is taken."""
--- a/winglift/controller/failover.py
+++ b/winglift/controller/failover.py
@@ -103,7 +103,7 @@
                 # Some members have received the stop command. The others receive it with their next report, so that
                 # the gang ends in order and is not left with half of its members.
                 log.info("gang stop resumed: job=%s term=%d", ref, cluster.term)
-                cluster.request_stop_of_all(job, now, "an earlier term has begun to stop it", job.grace_s)
+                cluster.request_stop_of_all(job, now, "stop begun in an earlier term", job.grace_s)
         for ref, (since, names) in record.reserved_for_gangs.items():
             try:
                 self.gang_reservations.by_job[ref] = GangReservation(unpack_names(names), now - max(0.0, today - since))
--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -325,6 +325,7 @@
             self.inventory.delete(machine, reason)
 
     def _run_cycle(self, now: float) -> None:
+        """One pass: plan if something has changed or none was made for `IDLE_CYCLE_S`; commit; report to the peers."""
         cluster = self.cluster
         idle = now - self._last_plan >= constants.IDLE_CYCLE_S
         if cluster.changed or idle:
@@ -345,6 +346,7 @@
         self.fleet_reporter.report_if_due(now)
 
     def _check_jobs(self, now: float) -> None:
+        """Forget jobs that have ended and are recorded; repeat the stops of cancelled ones."""
         for job in list(self.cluster.jobs.values()):
             if (
                 not job.is_open
--- a/winglift/controller/plan_executor.py
+++ b/winglift/controller/plan_executor.py
@@ -48,19 +48,19 @@
             grace_s = job.grace_s
             if job.kind is Kind.GANG:
                 for other in list(job.active.values()):
-                    self.cluster.request_stop(other, grace_s, now, f"makes room for {beneficiary}")
+                    self.cluster.request_stop(other, grace_s, now, f"evicted for {beneficiary}")
             else:
-                self.cluster.request_stop(task, grace_s, now, f"makes room for {beneficiary}")
+                self.cluster.request_stop(task, grace_s, now, f"evicted for {beneficiary}")
 
     def _migrate(self, plan: Plan, now: float) -> None:
         for ref, index in plan.image_restarts:
             task = self._task(ref, index)
             if task is not None and task.state is TaskState.FETCHING:
-                self.cluster.request_stop(task, 0.0, now, "starts beside its image")
+                self.cluster.request_stop(task, 0.0, now, "restarted where its image is cached")
         for ref, index in plan.migrations:
             task = self._task(ref, index)
             if task is not None and not task.stopping:
-                self.cluster.request_stop(task, 0.0, now, "moves out of a gang's way")
+                self.cluster.request_stop(task, 0.0, now, "migrated for a gang")
 
     def _start(self, plan: Plan, now: float) -> None:
         for ref, assignments in plan.starts:
