--- a/tests/test_end_of_day.py
+++ b/tests/test_end_of_day.py
@@ -174,7 +174,7 @@
         for w in scene.cloud.workers()
         for task, t in w.tasks.items()
     )
-    assert caplog.text.count(": silent for") <= 1 and scene.cloud.rentals - rented <= 4
+    assert caplog.text.count("reason=silent for") <= 1 and scene.cloud.rentals - rented <= 4
     for cut in cuts:
         scene.net.mend(cut)
     scene.loop.run(scene.loop.now + 10.0)
@@ -196,7 +196,7 @@
     assert node.leader_term is not None
     machines = node.leader_term.cluster.machines.values()
     assert all(m.last_heard is not None and host.monotonic_time() - m.last_heard < 4.0 for m in machines)
-    assert caplog.text.count(": silent for") <= 1
+    assert caplog.text.count("reason=silent for") <= 1
     assert all(not_up(scene, name) is None for name in scene.nodes)
     for cut in cuts:
         scene.net.mend(cut)
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -84,8 +84,8 @@
         deleted: list[str] = []
 
         class Cloud:
-            async def delete(self, names, ends=False):
-                assert ends
+            async def delete(self, names, for_cancellation=False):
+                assert for_cancellation
                 deleted.extend(names)
 
         cluster = ClusterState(settings(), {"g4": TYPE}, 1)
--- a/tests/test_kinds.py
+++ b/tests/test_kinds.py
@@ -291,7 +291,7 @@
         cloud = Refusing()
         found = Inventory(cloud, ClusterState(settings(), TYPES, 1), 3.0, OpenIntentLog())  # type: ignore[arg-type]
         found.rent(policy_snapshot.Rental("s", "a", True, 9))
-        found._refuse(("s", "a", True), monotonic_time())
+        found._note_refusal(("s", "a", True), monotonic_time())
         found.rent(policy_snapshot.Rental("w", "a", True, 2))
         cloud.free.set()
         await asyncio.sleep(0.1)
@@ -302,16 +302,16 @@
     # Refused again and again it is asked ever more rarely, until one of its kind is given back.
     key, until = ("w", "a", True), []
     for _ in range(5):
-        found._refuse(key, 0.0)
+        found._note_refusal(key, 0.0)
         until.append(found.capacity_refusals[key])
     assert (
         until == sorted(until)
         and until[-1] == constants.NO_CAPACITY_PAUSE_MAX_S
         and until[0] > constants.NO_CAPACITY_PAUSE_S
     )
-    found._freed(Machine("vm-1", WIDE, "w", "a", True, MachineState.UP, 0.0, 0.0))
+    found._clear_refusal(Machine("vm-1", WIDE, "w", "a", True, MachineState.UP, 0.0, 0.0))
     assert key not in found.capacity_refusals
-    found._refuse(key, 0.0)
+    found._note_refusal(key, 0.0)
     assert found.capacity_refusals[key] == constants.NO_CAPACITY_PAUSE_S
 
 
@@ -334,7 +334,7 @@
         for _ in range(20):
             asyncio.ensure_future(client.rent(cloud_messages.Rent("t1-2", "s", "a", False, 1)))
         await asyncio.sleep(0.001)
-        await client.delete(["vm-1"], ends=True)
+        await client.delete(["vm-1"], for_cancellation=True)
 
     asyncio.run(play())
     assert sent == ["/hosts/delete"]
--- a/winglift/cloud/client.py
+++ b/winglift/cloud/client.py
@@ -1,4 +1,4 @@
-"""Client of the cloud, within its rate."""
+"""Client of the cloud (PROTOCOL, "Controller nodes -> cloud"), within the rate that the cloud allows."""
 
 from __future__ import annotations
 
@@ -17,70 +17,82 @@
 
 log = logging.getLogger(__name__)
 
+LEADER_RATE_SHARE = 0.8  # of the rate that the cloud allows
+FOLLOWERS_RATE_SHARE = 0.2  # of it, for all nodes that don't lead together
+BUDGET_WAIT_MARGIN_S = 0.002  # s waited beyond the time when the budget allows a call
+
 
 class CloudError(Exception):
-    """Refused, or no answer: the request may have been carried out or may yet be."""
+    """An error or no answer: the request may have been carried out or may yet be."""
 
 
 class NotAuthorized(CloudError):
-    """This node may not act just now; nothing was sent."""
+    """This node is not entitled to act at present; nothing was sent."""
 
 
 class NoCapacity(Exception):
-    """None of this type, zone and kind are to be had now."""
+    """The cloud has no machine of this type, zone and kind (spot or ordinary) at present."""
 
 
-_types = msgspec.json.Decoder(cloud_messages.Types)
-_names = msgspec.json.Decoder(cloud_messages.Names)
-_listing = msgspec.json.Decoder(cloud_messages.Listing)
+_types_decoder = msgspec.json.Decoder(cloud_messages.Types)
+_names_decoder = msgspec.json.Decoder(cloud_messages.Names)
+_listing_decoder = msgspec.json.Decoder(cloud_messages.Listing)
 
 
 class CloudClient:
-    """One node's calls to the cloud (PROTOCOL, "Controller nodes -> cloud"), within its share of the rate."""
+    """One node's calls to the cloud, within its share of the rate."""
 
     def __init__(self, host: str, port: int, limits: Cloud, nodes: int) -> None:
+        """`nodes`: the number of controller nodes, which share the rate of `limits`."""
         self._http = current_runtime().client(host, port)
         self._limits = limits
         self._nodes = nodes
+        # May this node send requests that change anything?
         self.may_change: Callable[[], bool] = lambda: True
-        self.may_enforce_cancellations: Callable[[], bool] = lambda: (
-            False
-        )  # in doubt, may it still delete what holds cancelled tasks?
-        # Past the fence: are these machines still to be deleted for cancelled jobs, by a node that may not lead?
+        # As a leader in doubt, may it still delete machines that hold cancelled tasks?
+        self.may_enforce_cancellations: Callable[[], bool] = lambda: False
+        # Without the fence: are these machines still to be deleted for cancelled jobs, by a node that may not lead?
         self.may_delete_unfenced: Callable[[list[str]], bool] = lambda names: False
         self._budget = Budget(limits.rps, limits.rps)
-        self._ends_waiting = 0  # deletions for cancelled tasks that wait for their turn: all else waits behind them
+        # Deletions for cancelled tasks that wait for their turn: all other calls wait until they are sent.
+        self._cancellation_calls_waiting = 0
         self.set_leading(False)
 
     def set_leading(self, leads: bool) -> None:
-        """The leader deals with the cloud; the others only ask for the types now and then."""
-        share = 0.8 if leads or self._nodes == 1 else 0.2 / max(1, self._nodes - 1)
+        """Set this node's share of the rate: the leader has most of it, the others only request the types."""
+        share = LEADER_RATE_SHARE if leads or self._nodes == 1 else FOLLOWERS_RATE_SHARE / max(1, self._nodes - 1)
         self._budget.resize(self._limits.rps * share, max(1.0, self._limits.rps * share), monotonic_time())
 
     async def turn(self) -> None:
-        """Wait until a call could be sent at once."""
-        while self._ends_waiting or self._budget.free(monotonic_time()) < 1:
-            await asyncio.sleep(self._budget.wait_s(monotonic_time()) + 0.002)
+        """Wait until a call could be sent at once; rentals gathered meanwhile go as one request."""
+        while self._cancellation_calls_waiting or self._budget.free(monotonic_time()) < 1:
+            await asyncio.sleep(self._budget.wait_s(monotonic_time()) + BUDGET_WAIT_MARGIN_S)
 
     async def _call(
         self,
         method: str,
         path: str,
         body: bytes | None = None,
-        ends: bool = False,
+        for_cancellation: bool = False,
         door: Callable[[], bool] = lambda: False,
     ) -> Reply:
-        self._ends_waiting += ends
+        """Send a request when the rate allows it. Raises NotAuthorized, or CloudError without an answer.
+
+        `door`: whether a request that the fence would stop may be sent all the same.
+        """
+        self._cancellation_calls_waiting += for_cancellation
         try:
-            while (self._ends_waiting and not ends) or not self._budget.take(monotonic_time()):
-                await asyncio.sleep(self._budget.wait_s(monotonic_time()) + 0.002)
+            while (self._cancellation_calls_waiting and not for_cancellation) or not self._budget.take(
+                monotonic_time()
+            ):
+                await asyncio.sleep(self._budget.wait_s(monotonic_time()) + BUDGET_WAIT_MARGIN_S)
         finally:
-            self._ends_waiting -= ends
-        # A node that stood still woke in this queue: what it had decided before is another leader's to decide now.
+            self._cancellation_calls_waiting -= for_cancellation
+        # A node that was paused resumed in this queue: what it had decided before is another leader's to decide now.
         if (
             body is not None
             and not self.may_change()
-            and not (ends and self.may_enforce_cancellations())
+            and not (for_cancellation and self.may_enforce_cancellations())
             and not door()
         ):
             raise NotAuthorized("not entitled to act")
@@ -99,37 +111,46 @@
         try:
             return decoder.decode(reply.body)
         except (msgspec.DecodeError, UnicodeDecodeError) as err:
-            raise CloudError(f"odd answer of the cloud: {err}") from None
+            raise CloudError(f"cloud: answer that can't be decoded: {err}") from None
 
     async def types(self) -> dict[str, cloud_messages.MachineType]:
         """The machine types now offered, with current prices. Raises CloudError."""
         found: dict[str, cloud_messages.MachineType] = {}
-        for raw in self._decode(_types, await self._call("GET", "/flavors")).types:
+        for raw in self._decode(_types_decoder, await self._call("GET", "/flavors")).types:
             try:
-                mtype = cloud_messages.machine_type(raw)
+                machine_type = cloud_messages.machine_type(raw)
             except ValueError as err:
-                log.error("a machine type of the cloud is left out: %s", err)
+                log.error("machine type: invalid, left out: error=%s", err)
                 continue
-            found[mtype.name] = mtype
+            found[machine_type.name] = machine_type
         return found
 
     async def rent(self, request: cloud_messages.Rent) -> list[str]:
-        """Rent machines; their names. Raises NoCapacity, or CloudError if it is not known what happened."""
+        """Rent machines and return their names. A repeated request name (`hire`) is idempotent.
+
+        Raises NoCapacity, or CloudError if it is not known what happened.
+        """
         reply = await self._call("POST", "/hosts", msgspec.json.encode(request))
         if reply.status == 503 and b"no capacity" in reply.body:
             raise NoCapacity
-        return self._decode(_names, reply).machines
+        return self._decode(_names_decoder, reply).machines
 
-    async def delete(self, names: list[str], ends: bool = False) -> None:
-        """Delete machines; `ends`: each of them for a cancelled task, which a leader in doubt may do too."""
-        reply = await self._call("POST", "/hosts/delete", msgspec.json.encode(cloud_messages.Names(names)), ends)
+    async def delete(self, names: list[str], for_cancellation: bool = False) -> None:
+        """Delete machines, at most 100. Raises CloudError.
+
+        `for_cancellation`: each of them holds a cancelled task, so a leader in doubt may delete it too.
+        """
+        reply = await self._call(
+            "POST", "/hosts/delete", msgspec.json.encode(cloud_messages.Names(names)), for_cancellation
+        )
         if reply.status != 200:
             raise CloudError(f"cloud: {reply.status} for a deletion")
 
     async def delete_for_cancellation(self, names: list[str]) -> None:
-        """The one door past the fence: machines that may hold tasks of cancelled jobs, which nobody else sees to.
+        """Delete machines that may hold tasks of cancelled jobs, without the fence; the only such request.
 
-        What demands it is committed in the jobs' records, names the machines, and holds whoever leads (invariant 8).
+        No other node enforces these cancellations. What demands the deletion is committed in the jobs' records, names
+        the machines, and holds whichever node leads (invariant 8). Raises CloudError.
         """
         reply = await self._call(
             "POST",
@@ -142,13 +163,13 @@
             raise CloudError(f"cloud: {reply.status} for a deletion")
 
     async def list(self) -> list[cloud_messages.Listed]:
-        """All machines, page by page; as old as the cloud's lag. Raises CloudError."""
+        """All machines, read page by page; the list is as old as the cloud's lag. Raises CloudError."""
         found: list[cloud_messages.Listed] = []
         after = ""
         while True:
             path = f"/hosts?limit={constants.LIST_PAGE}" + (f"&after={after}" if after else "")
-            page = self._decode(_listing, await self._call("GET", path))
-            found += page.machines
-            if not page.more or not page.machines:
+            reply = self._decode(_listing_decoder, await self._call("GET", path))
+            found += reply.machines
+            if not reply.more or not reply.machines:
                 return found
-            after = page.machines[-1].name
+            after = reply.machines[-1].name
--- a/winglift/cloud/inventory.py
+++ b/winglift/cloud/inventory.py
@@ -1,4 +1,4 @@
-"""Machines of the leader: renting, returning, and reconciling the list with what reports show."""
+"""The leader's machines: renting, deleting, and reconciliation with the cloud's list."""
 
 from __future__ import annotations
 
@@ -21,50 +21,52 @@
 
 log = logging.getLogger(__name__)
 
-Place = tuple[str, str, bool]  # type, zone, spot
+MachinePool = tuple[str, str, bool]  # type, zone, spot
+
+DELETED_NAME_KEPT_S = 600.0  # s for which the name of a deleted machine is kept
 
 
 class Inventory:
     """Rents and deletes machines for one term, and reconciles them with the cloud's list."""
 
     def __init__(self, cloud: CloudClient, cluster: ClusterState, list_lag_s: float, intent_log: IntentLog) -> None:
+        """`list_lag_s`: the usual lag of the cloud's list; `intent_log`: that of this term."""
         self.cloud = cloud
         self.cluster = cluster
         self.list_lag_s = list_lag_s
         self.intent_log = intent_log
-        self.pending_rentals: dict[
-            str, ExternalOperation
-        ] = {}  # rentals without an answer: their machines count as booting
-        self.capacity_refusals: dict[Place, float] = {}  # until when it is not asked for again
-        self._in_a_row: dict[Place, int] = {}  # refusals since anything was to be had there
+        # Rentals without an answer, by name: their machines count as booting.
+        self.pending_rentals: dict[str, ExternalOperation] = {}
+        self.capacity_refusals: dict[MachinePool, float] = {}  # monotonic time until which none is requested
+        self._refusals_in_a_row: dict[MachinePool, int] = {}  # refusals since the cloud last had capacity
         self.has_listed = False
         self._number = 0
         self._tasks: set[asyncio.Task] = set()
-        self._unsent: dict[Place, ExternalOperation] = {}
+        self._unsent: dict[MachinePool, ExternalOperation] = {}
         self._to_delete: dict[str, Machine] = {}
         self._sender: asyncio.Task | None = None
 
     def spawn(self, coroutine) -> asyncio.Task:  # type: ignore[no-untyped-def, type-arg]
-        """Start a coroutine that ends with this term."""
+        """Run a coroutine as a task that is cancelled at the end of this term."""
         task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def stop(self) -> None:
-        """End all calls of this term."""
+        """Cancel all calls of this term."""
         for task in self._tasks:
             task.cancel()
 
     # -- renting -------------------------------------------------------------------------------
 
     def rent(self, rental: Rental) -> None:
-        """Ask for machines. What waits for its turn within the cloud's rate grows into one large request.
+        """Request machines. Rentals of a pool that wait for the cloud's rate are merged into one large request.
 
         In the first rush every cycle once queued calls of its own, of one to four machines each, for 40 s.
         """
-        key = (rental.type, rental.zone, rental.spot)
-        waiting = self._unsent.get(key)
+        pool = (rental.type, rental.zone, rental.spot)
+        waiting = self._unsent.get(pool)
         if waiting is not None and waiting.request is not None:
             waiting.request = replace(
                 waiting.request, count=min(waiting.request.count + rental.count, constants.RENT_MAX)
@@ -76,100 +78,107 @@
         request = cloud_messages.Rent(
             name, rental.type, rental.zone, rental.spot, min(rental.count, constants.RENT_MAX)
         )
-        self.pending_rentals[name] = self._unsent[key] = ExternalOperation(name, monotonic_time(), request)
+        self.pending_rentals[name] = self._unsent[pool] = ExternalOperation(name, monotonic_time(), request)
         if self._sender is None or self._sender.done():
-            # One at a time: a second one once found that the first had sent all that there was.
+            # One sender at a time: a second one once found that the first had sent all that there was.
             self._sender = self.spawn(self._send())
 
     async def _send(self) -> None:
-        """Send what waits, the largest request first, one whenever the cloud's rate allows a call."""
+        """Send the waiting rentals, the largest first, one whenever the cloud's rate allows a call."""
         while self._unsent:
             await self.cloud.turn()
-            if not self._still_wanted():
+            if not self._withdraw_refused():
                 continue
-            key = max(self._unsent, key=lambda k: _count(self._unsent[k]))
+            pool = max(self._unsent, key=lambda candidate: _count(self._unsent[candidate]))
             # From here on its request stays as it is: a name stands for one request, for ever.
-            operation = self.intent_log.intend(self._unsent.pop(key))
+            operation = self.intent_log.intend(self._unsent.pop(pool))
             try:
-                # Recorded under the fence before it is sent: whoever follows repeats the same name, and rents nothing
-                # twice.
+                # Recorded under the fence before it is sent: a successor repeats the name, and rents nothing twice.
                 await self.intent_log.persist([operation])
             except FenceLost:
                 return
             self.spawn(self._rent(operation))
             await asyncio.sleep(0)  # let the call take its turn
 
-    def _still_wanted(self) -> bool:
-        """Leave out what was refused since it was asked for: what waits on it finds the next choice at once.
+    def _withdraw_refused(self) -> bool:
+        """Withdraw rentals of pools refused meanwhile; whether any is left. Their tasks find the next choice at once.
 
         Such requests once went out all the same, while their tasks counted on machines that never came: in the first
         95 s of a day 95 calls were refused.
         """
-        for key in [k for k in self._unsent if self.capacity_refusals.get(k, 0.0) > monotonic_time()]:
-            operation = self._unsent.pop(key)
+        refused = [pool for pool in self._unsent if self.capacity_refusals.get(pool, 0.0) > monotonic_time()]
+        for pool in refused:
+            operation = self._unsent.pop(pool)
             self.pending_rentals.pop(operation.name, None)
             self.cluster.changed = True
         return bool(self._unsent)
 
-    def _refuse(self, key: Place, now: float) -> None:
-        """All of a type, zone and kind is taken: ask again later, and ever more rarely while that stays so."""
-        row = self._in_a_row[key] = self._in_a_row.get(key, 0) + 1
-        self.capacity_refusals[key] = now + min(
-            constants.NO_CAPACITY_PAUSE_S * 2 ** (row - 1), constants.NO_CAPACITY_PAUSE_MAX_S
+    def _note_refusal(self, pool: MachinePool, now: float) -> None:
+        """Note that a pool has no capacity: request again later, with exponential backoff while it is refused."""
+        refusals = self._refusals_in_a_row[pool] = self._refusals_in_a_row.get(pool, 0) + 1
+        self.capacity_refusals[pool] = now + min(
+            constants.NO_CAPACITY_PAUSE_S * 2 ** (refusals - 1), constants.NO_CAPACITY_PAUSE_MAX_S
         )
 
-    def _freed(self, machine: Machine) -> None:
-        """One of its kind was given back: it can be had again."""
-        key = (machine.type_name, machine.zone, machine.spot)
-        self.capacity_refusals.pop(key, None)
-        self._in_a_row.pop(key, None)
+    def _clear_refusal(self, machine: Machine) -> None:
+        """Forget the refusals of a machine's pool: it has capacity again, since this machine was deleted."""
+        pool = (machine.type_name, machine.zone, machine.spot)
+        self.capacity_refusals.pop(pool, None)
+        self._refusals_in_a_row.pop(pool, None)
 
     async def _rent(self, operation: ExternalOperation) -> None:
+        """Carry out a rental that is recorded, until the cloud has answered it."""
         request = operation.request
         assert request is not None
-        key = (request.type, request.zone, request.spot)
         try:
-            while True:
-                try:
-                    operation.move(OperationEvent.SEND, monotonic_time())
-                    names = await self.cloud.rent(request)
-                    break
-                except NoCapacity:
-                    self.intent_log.abandon(operation, monotonic_time())
-                    log.info(
-                        "cloud refuses %d %s in %s (%s)",
-                        request.count,
-                        request.type,
-                        request.zone,
-                        "spot" if request.spot else "ordinary",
-                    )
-                    self._refuse(key, monotonic_time())
-                    return
-                except CloudError as err:
-                    # The same name again: if it was carried out, the answer is the same and nothing more is rented.
-                    log.info("rental %s: %s", request.request, err)
-                    await asyncio.sleep(constants.CLOUD_PAUSE_S)
-            now = monotonic_time()
-            if len(names) < request.count:
-                self._refuse(key, now)
-            else:
-                self._in_a_row.pop(key, None)
-            log.info(
-                "rented %s in %s (%s): %s",
-                request.type,
-                request.zone,
-                "spot" if request.spot else "ordinary",
-                " ".join(names),
-            )
-            operation.machines = tuple(names)
-            self.intent_log.complete(operation, now)
-            self._booting(operation, now)
+            names = await self._request_machines(operation, request)
+            if names is not None:
+                self._on_rented(operation, request, names)
         finally:
             self.pending_rentals.pop(request.request, None)
             self.cluster.changed = True
 
-    def _booting(self, operation: ExternalOperation, now: float) -> None:
-        """The machines that a rental has brought."""
+    async def _request_machines(self, operation: ExternalOperation, request: cloud_messages.Rent) -> list[str] | None:
+        """Repeat a rental until it is answered: the machines' names, or None if the cloud refuses it."""
+        while True:
+            try:
+                operation.move(OperationEvent.SEND, monotonic_time())
+                return await self.cloud.rent(request)
+            except NoCapacity:
+                self.intent_log.abandon(operation, monotonic_time())
+                log.info(
+                    "rental: refused, no capacity: count=%d type=%s zone=%s kind=%s",
+                    request.count,
+                    request.type,
+                    request.zone,
+                    _kind(request),
+                )
+                self._note_refusal(_pool(request), monotonic_time())
+                return None
+            except CloudError as err:
+                # The same name again: if it was carried out, the answer is the same and nothing more is rented.
+                log.info("rental: request failed: name=%s error=%s", request.request, err)
+                await asyncio.sleep(constants.CLOUD_PAUSE_S)
+
+    def _on_rented(self, operation: ExternalOperation, request: cloud_messages.Rent, names: list[str]) -> None:
+        now = monotonic_time()
+        if len(names) < request.count:
+            self._note_refusal(_pool(request), now)
+        else:
+            self._refusals_in_a_row.pop(_pool(request), None)
+        log.info(
+            "rental: machines rented: type=%s zone=%s kind=%s machines=%s",
+            request.type,
+            request.zone,
+            _kind(request),
+            " ".join(names),
+        )
+        operation.machines = tuple(names)
+        self.intent_log.complete(operation, now)
+        self._register_booting(operation, now)
+
+    def _register_booting(self, operation: ExternalOperation, now: float) -> None:
+        """Register the machines of an answered rental, except those deleted since."""
         request = operation.request
         assert request is not None
         for name in operation.machines:
@@ -187,49 +196,49 @@
                 machine.state = MachineState.BOOTING
 
     def resume_operations(self, now: float) -> None:
-        """Go on with what earlier holders had begun; the book is loaded."""
-        for operation in [e for e in self.intent_log.deletions.values() if e.is_open]:
+        """Continue the rentals and deletions that earlier terms had begun; the intent log is loaded."""
+        for operation in [each for each in self.intent_log.deletions.values() if each.is_open]:
             machine = self.cluster.register_machine(operation.name, "", "", False, now, None)
-            self.delete(machine, "an earlier term has begun to delete it")
+            self.delete(machine, "deletion begun by an earlier term")
         for operation in list(self.intent_log.rentals.values()):
             if operation.is_open:
                 self.pending_rentals[operation.name] = operation
                 self.spawn(self._rent(operation))
             else:
-                self._booting(operation, now)
+                self._register_booting(operation, now)
         self.cluster.changed = True
 
     def pending_pools(self) -> list[tuple[str, str]]:
-        """Type and zone of each machine that is asked for and not answered yet."""
+        """Type and zone of each machine that is requested and not answered yet."""
         return [
-            (a.request.type, a.request.zone)
-            for a in self.pending_rentals.values()
-            if a.request is not None
-            for _ in range(a.request.count)
+            (operation.request.type, operation.request.zone)
+            for operation in self.pending_rentals.values()
+            if operation.request is not None
+            for _ in range(operation.request.count)
         ]
 
-    def current_refusals(self, now: float) -> set[tuple[str, str, bool]]:
-        """Type, zone and kind (spot) of what the cloud has refused lately."""
-        self.capacity_refusals = {k: t for k, t in self.capacity_refusals.items() if t > now}
+    def current_refusals(self, now: float) -> set[MachinePool]:
+        """The pools that the cloud has refused and that are not requested again yet."""
+        self.capacity_refusals = {pool: until for pool, until in self.capacity_refusals.items() if until > now}
         return set(self.capacity_refusals)
 
-    # -- returning -----------------------------------------------------------------------------
+    # -- deleting ------------------------------------------------------------------------------
 
-    def delete(self, machine: Machine, why: str) -> None:
-        """Delete a machine: nothing is placed there from now on, whatever becomes of the call."""
+    def delete(self, machine: Machine, reason: str) -> None:
+        """Delete a machine: nothing is placed there from now on, whether the call succeeds or not."""
         if machine.state is MachineState.DELETING or machine.name in self._to_delete:
             return
         operation = self.intent_log.intend(ExternalOperation(machine.name, monotonic_time()))
-        # What an earlier term has begun is told in one line (`take_over`): most of it is gone already.
+        # Deletions begun by an earlier term are logged in one line by the failover: most machines are gone already.
         log.log(
             logging.DEBUG if operation.inherited and not machine.tasks else logging.INFO,
-            "deletes %s in %s: %s (%d tasks)",
+            "machine: deletion decided: machine=%s zone=%s reason=%s tasks=%d",
             machine.name,
             machine.zone,
-            why,
+            reason,
             len(machine.tasks),
         )
-        # From here on nothing is placed there, by this holder or by a later one (invariant 2): once its deletion may
+        # From here on nothing is placed there, by this term or by a later one (invariant 2): once its deletion may
         # have been sent, it may be carried out minutes from now.
         machine.move(MachineEvent.DELETE)
         self._to_delete[machine.name] = machine
@@ -238,45 +247,45 @@
 
     async def _delete(self) -> None:
         while self._to_delete:
-            # What holds a cancelled task goes first, and by itself: a leader in doubt may still delete that.
-            urgent = [n for n, m in self._to_delete.items() if holds_cancelled(m)]
-            batch = {n: self._to_delete[n] for n in (urgent or list(self._to_delete))[: constants.DELETE_MAX]}
-            operations = [self.intent_log.deletions[n] for n in batch]
+            # A machine that holds a cancelled task goes first, in a request without others: a leader in doubt may still
+            # delete it.
+            urgent = [name for name, machine in self._to_delete.items() if holds_cancelled(machine)]
+            batch = {name: self._to_delete[name] for name in (urgent or list(self._to_delete))[: constants.DELETE_MAX]}
+            operations = [self.intent_log.deletions[name] for name in batch]
             try:
                 async with asyncio.timeout(constants.DELETE_RECORD_S):
                     await self.intent_log.persist(operations)
             except TimeoutError:
-                # What a committed cancellation demands is recorded in the job: it goes without the book.
+                # What a committed cancellation demands is recorded in the job: it is sent without the intent log.
                 if not urgent:
                     continue
             except FenceLost:
                 return
             for operation in operations:
-                operation.move(
-                    OperationEvent.SEND
-                    if operation.state is not OperationState.INTENDED
-                    else OperationEvent.SEND_UNRECORDED,
-                    monotonic_time(),
-                )
+                _move_to_sent(operation)
             try:
-                await self.cloud.delete(list(batch), ends=bool(urgent))
+                await self.cloud.delete(list(batch), for_cancellation=bool(urgent))
             except CloudError as err:
-                # Unanswered is not undone: the machines stay out of use, and the deletion is repeated.
-                log.info("deletion: %s", err)
+                # A deletion without an answer may have been carried out: the machines stay out of use, and it is
+                # repeated.
+                log.info("deletion: request failed: error=%s", err)
                 await asyncio.sleep(constants.CLOUD_PAUSE_S)
                 continue
-            now = monotonic_time()
-            for operation in operations:
-                self.intent_log.complete(operation, now)
-            for name, machine in batch.items():
-                self._to_delete.pop(name, None)
-                self._freed(machine)
-                self.cluster.remove_machine(machine, now)
+            self._on_deleted(batch, operations)
 
-    # -- the list ------------------------------------------------------------------------------
+    def _on_deleted(self, batch: dict[str, Machine], operations: list[ExternalOperation]) -> None:
+        now = monotonic_time()
+        for operation in operations:
+            self.intent_log.complete(operation, now)
+        for name, machine in batch.items():
+            self._to_delete.pop(name, None)
+            self._clear_refusal(machine)
+            self.cluster.remove_machine(machine, now)
+
+    # -- reconciliation ------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Reconcile with the list every LIST_EVERY_S."""
+        """Reconcile with the cloud's list every LIST_EVERY_S."""
         while True:
             try:
                 asked = monotonic_time()
@@ -284,47 +293,66 @@
                 self.reconcile(listed, monotonic_time(), asked)
                 self.has_listed = True
             except CloudError as err:
-                log.info("machine list: %s", err)
+                log.info("machine list: request failed: error=%s", err)
             await asyncio.sleep(constants.LIST_EVERY_S)
 
     def reconcile(self, listed: list[cloud_messages.Listed], now: float, asked: float) -> None:
-        """Take in a list that was asked for at that time; it is up to twice its lag older."""
-        cluster = self.cluster
-        shown = {entry.name for entry in listed}
+        """Reconcile with a list requested at the monotonic time `asked`; it describes up to twice its lag earlier."""
+        self._delete_unlisted({entry.name for entry in listed}, asked)
+        for entry in listed:
+            if entry.name not in self.cluster.deleted_machines:
+                self._reconcile_entry(entry, now)
+        # A name that was deleted long ago can't appear in a list any more.
+        horizon = now - DELETED_NAME_KEPT_S
+        for name in [name for name, at in self.cluster.deleted_machines.items() if at < horizon]:
+            del self.cluster.deleted_machines[name]
+
+    def _delete_unlisted(self, listed_names: set[str], asked: float) -> None:
+        """Delete booting machines that the list must have shown if they still existed."""
         oldest = asked - 2 * self.list_lag_s - constants.INTENT_LOG_KEEP_MARGIN_S
-        for machine in list(cluster.machines.values()):
+        for machine in list(self.cluster.machines.values()):
             if (
-                machine.name not in shown
+                machine.name not in listed_names
                 and machine.state is MachineState.BOOTING
                 and not machine.tasks
                 and machine.rented_at < oldest
             ):
-                # It must have been listed, and would be still: it was taken before it came up.
-                self.delete(machine, "in no list any more")
-        for entry in listed:
-            if entry.name in cluster.deleted_machines:
-                continue
-            known = entry.name in cluster.machines
-            machine = cluster.register_machine(entry.name, entry.type, entry.zone, entry.spot, now, entry.age_s)
-            if not known:
-                log.info("the list shows %s (%s, %s)", entry.name, entry.zone, entry.state)
-                if entry.state == "booting":
-                    machine.state = MachineState.BOOTING
-                cluster.changed = True
-            if entry.addr and not machine.addr:
-                machine.addr = entry.addr
-            if entry.state == "failed":
-                self.delete(machine, "stopped on its own")
-        # A name that was deleted long ago can't show up in a list any more.
-        horizon = now - 600.0
-        for name in [n for n, t in cluster.deleted_machines.items() if t < horizon]:
-            del cluster.deleted_machines[name]
+                # It must have been listed, and would be still: it was reclaimed before it came up.
+                self.delete(machine, "not listed any more")
+
+    def _reconcile_entry(self, entry: cloud_messages.Listed, now: float) -> None:
+        known = entry.name in self.cluster.machines
+        machine = self.cluster.register_machine(entry.name, entry.type, entry.zone, entry.spot, now, entry.age_s)
+        if not known:
+            log.info(
+                "machine: discovered in the list: machine=%s zone=%s state=%s", entry.name, entry.zone, entry.state
+            )
+            if entry.state == "booting":
+                machine.state = MachineState.BOOTING
+            self.cluster.changed = True
+        if entry.addr and not machine.addr:
+            machine.addr = entry.addr
+        if entry.state == "failed":
+            self.delete(machine, "failed on its own")
 
 
 def _count(operation: ExternalOperation) -> int:
     return operation.request.count if operation.request is not None else 0
 
 
+def _pool(request: cloud_messages.Rent) -> MachinePool:
+    return request.type, request.zone, request.spot
+
+
+def _kind(request: cloud_messages.Rent) -> str:
+    return "spot" if request.spot else "ordinary"
+
+
+def _move_to_sent(operation: ExternalOperation) -> None:
+    recorded = operation.state is not OperationState.INTENDED
+    operation.move(OperationEvent.SEND if recorded else OperationEvent.SEND_UNRECORDED, monotonic_time())
+
+
 def holds_cancelled(machine: Machine) -> bool:
-    """Does the machine hold a task of a cancelled job?"""
-    return any(t.job.state is JobState.CANCELLED for t in machine.tasks.values())
+    """Whether the machine holds a task of a cancelled job."""
+    return any(task.job.state is JobState.CANCELLED for task in machine.tasks.values())
