--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -372,7 +372,7 @@
     ),
     "the list tells where machines answer": (
         CancellationEnforcer,
-        "_look_up_addresses",
+        "_fetch_addresses",
         lambda self, now: None,
         lambda: gaps.test_machines_that_only_the_old_leader_has_heard_are_told_and_not_deleted(False),
     ),
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections to a node, and reports handed from one node to the other: what waits is told, what is idle is closed."""
+"""Connections to a node: idle ones are closed, each forwarded report is answered once, a stop closes them."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
     asyncio.run(scenario())
 
 
-class Wire:
+class FakeStream:
     """A connection that takes what is written, until it breaks."""
 
     def __init__(self) -> None:
@@ -81,7 +81,7 @@
         self.written.append(data)
 
 
-def test_each_report_that_is_handed_over_is_told_of_exactly_once():
+def test_each_forwarded_report_is_answered_exactly_once():
     net = Network()
     host = Host(net, "node-0", "a")
     peers = PeerConnections(
@@ -96,25 +96,25 @@
         lambda proofs: None,
     )
     peer = peers.by_node["node-1"] = Peer(Seed("node-1", "a", "10.0.0.2:8081"))
-    told: list[tuple[int, float, tuple[int, bytes] | None]] = []
+    answers: list[tuple[int, float, tuple[int, bytes] | None]] = []
 
-    def hand(number: int) -> None:
-        peers.forward_report(peer, b"report", lambda got: told.append((number, net.loop.now, got)))
+    def forward(number: int) -> None:
+        peers.forward_report(peer, b"report", lambda got: answers.append((number, net.loop.now, got)))
 
     async def scenario() -> None:
-        hand(0)  # there is no connection
-        wire = peer.stream = Wire()
-        hand(1)
+        forward(0)  # there is no connection
+        stream = peer.stream = FakeStream()
+        forward(1)
         await asyncio.sleep(0.4)
-        hand(2)
+        forward(2)
         await asyncio.sleep(0.1)
-        number = peer_messages.parse_header(wire.written[1][: peer_messages.HEADER.size]).request
-        answers = [
+        number = peer_messages.parse_header(stream.written[1][: peer_messages.HEADER.size]).request
+        frames = [
             peer_messages.frame(peer_messages.FrameType.RELAYED, n, peer_messages.pack_answer(200, b"yes"))
             for n in (number, number)
         ]
 
-        class Answers:
+        class AnswerStream:
             def read_bytes(self, count):
                 async def read():
                     if not data:
@@ -127,18 +127,18 @@
             def close(self):
                 pass
 
-        data = bytearray(b"".join(answers))  # twice: a copy tells nothing
-        await peers._read_answers(peer, Answers())
-        hand(3)
-        wire.broken = True
-        hand(4)
+        data = bytearray(b"".join(frames))  # twice: a copy answers nothing
+        await peers._read_answers(peer, AnswerStream())
+        forward(3)
+        stream.broken = True
+        forward(4)
         await asyncio.sleep(3.0)
 
     task = host.context.run(net.loop.create_task, scenario())
     assert net.loop.run(task.done)
     task.result()
-    assert [(n, got) for n, _, got in told] == [(0, None), (2, (200, b"yes")), (4, None), (1, None), (3, None)]
-    late = {n: when for n, when, _ in told}
+    assert [(n, got) for n, _, got in answers] == [(0, None), (2, (200, b"yes")), (4, None), (1, None), (3, None)]
+    late = {n: when for n, when, _ in answers}
     assert (
         constants.FORWARD_TIMEOUT_S <= late[1] <= constants.FORWARD_TIMEOUT_S + 2 * constants.FORWARD_SWEEP_S
         and not peer.pending_requests
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Who answers a worker's report, by zone, leadership and what the link can do."""
+"""Which node answers a worker's report, by zone, leadership and the state of the peer connection."""
 
 from __future__ import annotations
 
@@ -64,8 +64,8 @@
     return status, json.loads(text)
 
 
-def test_a_worker_is_served_before_it_is_sent_home():
-    """A redirect to a node behind a cut costs 10 s of going round, which is all of a lease."""
+def test_a_worker_is_served_before_it_is_redirected_to_its_home_node():
+    """A redirect to a node behind a partition costs 10 s of going round, which is all of a lease."""
     handler, _ = follower("b")
     assert ask(handler)[0] == 200
     assert ask(handler) == (421, {"reportsTo": "node-1"})
@@ -73,7 +73,7 @@
 
 
 def test_a_worker_stays_with_a_node_of_its_own_zone():
-    """Behind a cut between zones, workers on the leader alone once lost 86 tasks to their leases."""
+    """Behind a partition between zones, workers on the leader alone once lost 86 tasks to their leases."""
     handler, peers = follower("b")
     assert [ask(handler, "b")[0] for _ in range(3)] == [200, 200, 200]
     peers.works = False
@@ -87,7 +87,7 @@
     assert [ask(handler, "c") for _ in range(2)][1] == (421, {"reportsTo": "node-1"})
 
 
-def test_without_a_link_the_lease_is_renewed_with_the_highest_term_and_no_command():
+def test_without_a_peer_connection_the_lease_is_renewed_with_the_highest_term_and_no_command():
     handler, peers = follower("a")
     peers.works = False
     assert ask(handler) == (200, {"baton": 3, "orders": []})
--- a/winglift/workers/cancellation_enforcement.py
+++ b/winglift/workers/cancellation_enforcement.py
@@ -231,7 +231,7 @@
             for machine in cancellation.stop_commands:
                 contact = self.contacts.get(machine)
                 if contact is None:
-                    self._look_up_addresses(now)
+                    self._fetch_addresses(now)
                 elif machine not in self._commanding and (
                     contact.commanded_at < cancellation.state_since
                     or (settled and now - contact.commanded_at > constants.CANCELLATION_PROBE_S)
@@ -241,7 +241,7 @@
                     contact.commanded_at = now
                     self._commanding[machine] = asyncio.ensure_future(self._stop_tasks(machine, contact))
 
-    def _look_up_addresses(self, now: float) -> None:
+    def _fetch_addresses(self, now: float) -> None:
         """Ask the cloud for the addresses of machines that report to another node, perhaps one out of reach.
 
         Without them these machines were deleted, with all the other work on them.
--- a/winglift/workers/reports.py
+++ b/winglift/workers/reports.py
@@ -144,7 +144,7 @@
     ) -> asyncio.Future[Answer]:
         answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
 
-        def on_answer(forwarded: Answer | None) -> None:
+        def finish(forwarded: Answer | None) -> None:
             accepted = forwarded is not None and forwarded[0] == 200
             answer.set_result(
                 self._finish(
@@ -154,7 +154,7 @@
                 )
             )
 
-        self.node.peers.forward_report(leader, body, on_answer)
+        self.node.peers.forward_report(leader, body, finish)
         return answer
 
     def _finish(self, report: worker_messages.Report, answer: Answer, belongs_elsewhere: bool) -> Answer:
