--- a/winglift/workers/partition_detector.py
+++ b/winglift/workers/partition_detector.py
@@ -1,6 +1,6 @@
-"""Detects that this node hears workers but can forward their reports to no leader.
+"""Detects that this node receives reports of workers but can forward them to no leader.
 
-That is the case when this node hears neither the state service nor any other node, or when the state service names a
+That is the case when this node reaches neither the state service nor any other node, or when the state service names a
 leader that this node does not reach.
 
 The node may be partitioned together with its zone; then its answers keep the zone's workers alive, and no other node
