--- a/winglift/constants.py
+++ b/winglift/constants.py
@@ -111,7 +111,7 @@
 CANCELLATION_NOTIFY_S = 1.0  # s until a cancellation is sent again to a node that did not acknowledge it
 CANCELLATION_PROBE_S = 2.0  # s between two probes of a machine for whether a cancelled task has left it
 CANCELLATION_LIST_S = 5.0  # s between two reads of the cloud's list for machine addresses: it lags some seconds
-CANCELLATION_REREAD_S = 1.0  # s between two reads of records whose cancellation has been a leader's task for long
+CANCELLATION_REREAD_S = 1.0  # s between two reads of records whose cancellation has been left to a leader for long
 CANCELLATION_REREAD_SHARE = 1.5  # of cancel_s; the age of a cancellation from which its record is read again
 CANCELLATION_KEPT_SHARE = 3.0  # of cancel_s; the cancellations kept are the changes that the state service accepts in
 # this time
@@ -189,7 +189,7 @@
 # finish before it preempts any
 INSPECTION_KEPT_S = 2.0  # s for which the cost of preempting a machine's tasks is cached
 INSPECTIONS_SPARE = 100  # deleted machines left in that cache until they are removed from it
-START_DEADLINE_S = 240.0  # s; the largest jobs too start within four minutes, as users were promised
+START_DEADLINE_S = 240.0  # s; the largest jobs too start within four minutes, as users demand
 RESERVATION_AFTER_SHARE = 0.4  # ratio of that; capacity is reserved for a job that has waited longer: the rest is for
 # other tasks to finish
 RESERVATION_MAX_S = 75.0  # s at a time; no task may wait for 90 s beside free capacity, and placing takes some seconds
