--- a/winglift/config/script.py
+++ b/winglift/config/script.py
@@ -83,7 +83,8 @@
             return default
         try:
             succeeded, value = self._limited(hook, *args)
-        except Exception as err:  # also MemoryError and errors of lupa: a script must never end the scheduling cycle
+        # Also MemoryError and errors of lupa: a script must never end the scheduling cycle.
+        except Exception as err:  # noqa: BLE001
             succeeded, value = False, str(err)
         if succeeded and _is_finite_number(value) and 0 <= value <= constants.MAX_AMOUNT:
             return float(value)
