--- /dev/null
+++ b/tests/golden_examples.py
@@ -0,0 +1,289 @@
+"""One example of every message, stored record and settings object, with all fields set, under the names of the golden
+files. A rename in the program changes constructor keywords here, and nothing under tests/golden."""
+
+from __future__ import annotations
+
+import pathlib
+from collections.abc import Callable
+from typing import Any
+
+from msgspec import Raw
+
+from winglift.config import settings
+from winglift.duties import page as duty
+from winglift.flows import records as flow_records
+from winglift.flows import settings as flow_settings
+from winglift.model import imagebook, records
+from winglift.model.job import JobState
+from winglift.wire import back, cloud, flows, state, users, workers
+
+GOLDEN = pathlib.Path(__file__).parent / "golden"
+PLAN, ORDER, OUTPUTS = "a" * 64, "b" * 64, "c" * 64
+
+SUBMISSION = users.Submission(
+    ref="wk-000412",
+    job_class="lens-render",
+    team="platform-crew-00",
+    kind=users.Kind.GANG,
+    priority=users.Priority.HIGH,
+    tasks=12,
+    cpus=2.0,
+    gpus=0.5,
+    memory_gb=8.25,
+    image="lens-7",
+    image_gb=3.5,
+    types=["g4", "g8"],
+    zone="ishikari-hall",
+    one_zone=True,
+    spread=True,
+    spot=True,
+    estimate_s=600.0,
+    checkpoint_s=60.0,
+    save_s=4.5,
+    due_s=900.0,
+)
+TASK_REPORT = workers.TaskReport("wk-000412/3", 2, workers.Phase.EXITED, workers.Why.STOPPED.value, True)
+COMMAND = workers.halt("wk-000412/3", 2, 4.5)
+MACHINE_TYPE = cloud.MachineType(
+    name="g4",
+    cpus=32.0,
+    gpus=4.0,
+    memory_gb=256.0,
+    cache_gb=60.0,
+    fetch_gb_per_s=0.5,
+    price=12.0,
+    spot_price=4.0,
+    boot_s=45.0,
+    zones=["ishikari-hall", "tokachi-annex"],
+)
+LISTED = cloud.Listed(
+    name="vm-000407", addr="10.1.0.7:9000", type="g4", zone="ishikari-hall", spot=True, state="up", age_s=12.5
+)
+JOB_RECORD = records.JobRecord(
+    submitted=1000.25,
+    spec=SUBMISSION,
+    state=JobState.CANCELLED.value,
+    next_attempt=7,
+    low=2,
+    bits="Cg==",
+    places=[("vm-000407", 3, "0-3,7")],
+    cancelled=1010.5,
+)
+ITEM = state.Item("job/wk-000412", Raw(b'{"t":1.5}'), 17, 5)
+CONDITION = state.Condition("leader", 41)
+PUT = state.Put("leader", records.LeaderRecord(9, "wingnode-0"), 5)
+DROP = state.Drop("image/3")
+EVENT = state.Event(put="job/wk-000412", delete="job/wk-000411", value=Raw(b'{"t":1.5}'), version=18)
+RENTAL = duty.RentalNote(
+    name="rq-1",
+    type=1,
+    zone=2,
+    spot=1,
+    count=6,
+    at_s=30,
+    machines=duty.pack_names(["vm-000407", "vm-000408", "vm-000423", "odd name"]),
+)
+DUTY_PAGE = duty.Page(
+    base=1000.5,
+    term=9,
+    types=["g4", "g8"],
+    zones=["a", "b", "c"],
+    rentals=[RENTAL],
+    deletions="vm-|6|407-409,423 =odd%20name",
+    leaving={"vm-000411": "defrag"},
+    refused=[("g4", "a", True, 1100.5)],
+    next_move=1200.5,
+    stopping={"wk-000412": 3},
+    kept={"wk-000413": (1050.5, "vm-|6|430")},
+    failed_on={"wk-000414": ["vm-000407"]},
+)
+BINDING = flows.Binding(position=2, prefix="--in", separate=False, item_separator=",", value_from="$(self.path)")
+PARAM = flows.Param("reads", {"array": "File"}, [], BINDING, flows.Binding(prefix="-r"), {"size": BINDING}, True)
+OUTPUT = flows.Output("counts", "File", ["*.txt"], True, "$(self[0])")
+STAGED = flows.Staged("hello", "hello.txt")
+HINTS = flows.Hints("platform-crew-00", "urgent", "lens-render", True, 60.0, 4.5, 600.0, 900.0, 3.5)
+TOOL = flows.Tool(
+    inputs=[PARAM],
+    outputs=[OUTPUT],
+    base=["wc", "-l"],
+    arguments=[BINDING],
+    stdin="$(inputs.reads[0].path)",
+    stdout="out.txt",
+    stderr="err.txt",
+    success=[0, 3],
+    env={"LANG": "C"},
+    staged=[STAGED],
+    cpus=2.0,
+    gpus=0.5,
+    memory_gb="$(inputs.size)",
+    time_s=30.0,
+    image="lens-7",
+    javascript=True,
+    library=["function f() { return 1; }"],
+    hints=HINTS,
+)
+EXPRESSION = flows.Expression([PARAM], [OUTPUT], "$({counts: 1})", True, ["var x = 1;"])
+STEP_INPUT = flows.StepInput("reads", ["reads"], True, "merge_flattened", "all_non_null", [], "$(self)", True)
+STEP = flows.Step(
+    "count", "count_tool", [STEP_INPUT], ["counts"], ["reads"], "flat_crossproduct", "$(inputs.go)", HINTS
+)
+FLOW_OUTPUT = flows.FlowOutput("all", "File", ["count/counts"], True, "merge_flattened", "first_non_null")
+WORKFLOW = flows.Workflow([PARAM], [FLOW_OUTPUT], [STEP], True, ["var x = 1;"], HINTS)
+FLOW_SUBMISSION = flows.FlowSubmission(
+    ref="fl-000412", team="platform-crew-00", plan=PLAN, order=ORDER, due_s=900.0, reuse="fl-000411"
+)
+STEP_REPLY = flows.StepReply("main/count", "running", 12, 4, ["wk-000412"])
+FLOW_REPLY = flows.FlowReply(
+    ref="fl-000412",
+    state=flows.FlowState.FAILED,
+    team="platform-crew-00",
+    submitted=1000.25,
+    plan=PLAN,
+    cause="count: code 1",
+    errors="no such file",
+    outputs=OUTPUTS,
+    steps=[STEP_REPLY],
+    next=100,
+)
+FETCH = flows.Fetch("in/a.txt", PLAN)
+WORK = flows.Work(
+    command=["wc", "-l"],
+    env={"LANG": "C"},
+    files=[FETCH],
+    stdin="in/a.txt",
+    stdout="out.txt",
+    stderr="err.txt",
+    success=[0, 3],
+    time_s=30.0,
+    outputs=[OUTPUT],
+)
+FOUND = flows.Found("vm-000407", 2, 1, True, {"counts": [1]}, {"counts": 2}, "warning", "no output")
+FOUND_ITEM = flows.FoundItem(3, FOUND)
+SETTINGS = settings.load(str(GOLDEN / "settings.toml"))
+PARAMS = SETTINGS.settings
+FLOW_SETTINGS = flow_settings.load(str(GOLDEN / "workflows.toml"))
+
+# Name in the golden file: the object that is written.
+JSON: dict[str, Any] = {
+    "users: POST /work": SUBMISSION,
+    "users: status": users.StatusReply("wk-000412", users.JobStatus.CANCELLED, 4, 8),
+    "workers: report": workers.Report(
+        machine="vm-000407",
+        addr="10.1.0.7:9000",
+        type="g4",
+        zone="ishikari-hall",
+        spot=True,
+        session=3,
+        seq=55,
+        token=9,
+        notice_s=29.5,
+        tasks=[TASK_REPORT],
+    ),
+    "workers: piece of a report": TASK_REPORT,
+    "workers: order halt": COMMAND,
+    "workers: order run": workers.run("wk-000412/3", 2),
+    "workers: order reap": workers.reap("wk-000412/3", 2),
+    "workers: answer to a report": workers.Commands(9, [COMMAND]),
+    "workers: POST /commands": workers.DirectCommands(9, 3, [COMMAND]),
+    "workers: answer 421": workers.Redirect("10.0.0.2:8080"),
+    "cloud: rig type": MACHINE_TYPE,
+    "cloud: GET /flavors": cloud.Types([Raw(b'{"name":"g4"}')]),
+    "cloud: POST /hosts": cloud.Rent("rq-1", "g4", "ishikari-hall", True, 6),
+    "cloud: names": cloud.Names(["vm-000407", "vm-000408"]),
+    "cloud: listed rig": LISTED,
+    "cloud: GET /hosts": cloud.Listing([LISTED], True),
+    "state: item": ITEM,
+    "state: page": state.Page([ITEM], 99, True),
+    "state: condition": CONDITION,
+    "state: write": PUT,
+    "state: drop": DROP,
+    "state: POST /commit": state.Transaction([CONDITION], [PUT, DROP]),
+    "state: committed": state.Committed(42),
+    "state: conflict": state.Conflict(["leader"], 43),
+    "state: grant": state.Grant(5),
+    "state: POST /grants": state.GrantRequest(3000),
+    "state: event": EVENT,
+    "state: GET /changes": state.Changes(99, [EVENT]),
+    "flows: binding": BINDING,
+    "flows: param": PARAM,
+    "flows: output": OUTPUT,
+    "flows: staged": STAGED,
+    "flows: hints": HINTS,
+    "flows: tool": TOOL,
+    "flows: expression": EXPRESSION,
+    "flows: step input": STEP_INPUT,
+    "flows: step": STEP,
+    "flows: workflow output": FLOW_OUTPUT,
+    "flows: workflow": WORKFLOW,
+    "flows: plan": flows.Plan("main", {"main": WORKFLOW, "count_tool": TOOL, "expr": EXPRESSION}),
+    "flows: POST /flows": FLOW_SUBMISSION,
+    "flows: step reply": STEP_REPLY,
+    "flows: reply": FLOW_REPLY,
+    "flows: list": flows.FlowList([FLOW_REPLY], True, "10.3.0.1:18084"),
+    "flows: fetch": FETCH,
+    "flows: work": WORK,
+    "flows: found": FOUND,
+    "flows: found item": FOUND_ITEM,
+    "flows: found page": flows.FoundPage([FOUND_ITEM], True),
+    "record: leader": records.LeaderRecord(9, "wingnode-0"),
+    "record: term": records.TermRecord(9),
+    "record: job": JOB_RECORD,
+    "record: image page": imagebook.Page(["lens-7", "fit-1"], [3.5, 0.125], {"vm-000407": [1, 0]}),
+    "record: duty": DUTY_PAGE,
+    "record: duty rental": RENTAL,
+    "record: flow head": flow_records.Head(
+        FLOW_SUBMISSION, 1000.25, flows.FlowState.FAILED, "count: code 1", "no such file", OUTPUTS, True, True
+    ),
+    "record: flow step": flow_records.StepRecord(
+        "main/count", flows.How.FAILED, 1010.5, PLAN, [{"n": 1}], OUTPUTS, ["vm-000407"], ["wk-000412"], 12
+    ),
+    "settings: file": SETTINGS,
+    "settings: seed": SETTINGS.seeds[0],
+    "settings: services": SETTINGS.services,
+    "settings: settings": PARAMS,
+    "settings: team": PARAMS.teams[0],
+    "settings: objective": settings.Objective("wait", "fitcheck-live", 8.0, 0.92, 1.5),
+    "settings: workers": PARAMS.workers,
+    "settings: state": PARAMS.state,
+    "settings: cloud": PARAMS.cloud,
+    "settings: machine limits": PARAMS.machine_limits,
+    "workflow settings: file": FLOW_SETTINGS,
+    "workflow settings: expressions": FLOW_SETTINGS.expressions,
+}
+
+PEER = back.PeerState(2**40 + 9, True, False, "wingnode-0")
+FLEET = back.Fleet({"vm-000407": {"lens-7": 3.5, "fit-1": 0.125}, "vm-000408": {}}, {"vm-000409": 4.25})
+PROOFS = [("wk-000412", "vm-000407"), ("", "vm-000408")]
+NOTE = back.JobNote(2**40 + 17, "wk-000412", records.encode(JOB_RECORD))
+RELAYED_REPORT = b'{"rig":"vm-000407"}'
+
+Frame = tuple[back.FrameType, int, bytes, Any, Callable[[bytes], Any], Callable[[Any], bytes]]
+
+
+def same(body: Any) -> Any:
+    return body
+
+
+# Name in the golden file: type, request number, body as it is packed, what it says, its reader and its writer.
+FRAMES: dict[str, Frame] = {
+    "state": (back.FrameType.STATE, 0, back.pack_state(PEER), PEER, back.parse_state, back.pack_state),
+    "relay": (back.FrameType.RELAY, 7, RELAYED_REPORT, RELAYED_REPORT, same, same),
+    "relayed": (
+        back.FrameType.RELAYED,
+        7,
+        back.pack_answer(421, b"{}"),
+        (421, b"{}"),
+        back.parse_answer,
+        lambda answer: back.pack_answer(*answer),
+    ),
+    "job": (back.FrameType.JOB, 2**32 - 1, back.pack_job(NOTE), NOTE, back.parse_job, back.pack_job),
+    "fleet": (
+        back.FrameType.FLEET,
+        0,
+        back.pack_fleet(FLEET)[0],
+        FLEET,
+        back.parse_fleet,
+        lambda fleet: back.pack_fleet(fleet)[0],
+    ),
+    "proofs": (back.FrameType.PROOFS, 0, back.pack_proofs(PROOFS), PROOFS, back.parse_proofs, back.pack_proofs),
+}
