--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -9,7 +9,7 @@
 
 from tornado import web
 
-from winglift.net.outside import steady
+from winglift.net.runtime import monotonic_time
 
 from .gangs import Gangs
 from .processes import Processes
@@ -67,7 +67,7 @@
                 "endpoint": "127.0.0.1:1",
                 "status": "booting",
             }
-            self.machines[name] = (entry, None, steady())
+            self.machines[name] = (entry, None, monotonic_time())
             asyncio.get_running_loop().call_later(self.type["bootS"], self._boot, name)
             names.append(name)
         if not names:
@@ -92,13 +92,13 @@
         for name in names:
             found = self.machines.pop(name, None)
             if found is not None:
-                self.gone.append((name, found[2], steady(), found[0]))
+                self.gone.append((name, found[2], monotonic_time(), found[0]))
                 if found[1] is not None:
                     found[1].kill()
 
     def listed(self) -> list[dict[str, Any]]:
         """The machines as they were `list_lag_s` ago."""
-        at = steady() - self.list_lag_s
+        at = monotonic_time() - self.list_lag_s
         found = [{**entry, "ageS": at - began} for entry, _, began in self.machines.values() if began <= at]
         found += [{**entry, "ageS": at - began} for _, began, until, entry in self.gone if began <= at < until]
         return sorted(found, key=lambda entry: entry["ref"])
--- a/standins/flow_leader.py
+++ b/standins/flow_leader.py
@@ -14,8 +14,8 @@
 
 from winglift.config.settings import Settings
 from winglift.flows.expressions import Engines
-from winglift.wire import flows as wire
-from winglift.wire import state
+from winglift.wire import flows as flow_messages
+from winglift.wire import state as state_messages
 from winglift.wire.cloud import MachineType
 
 from .state import StateService
@@ -28,31 +28,31 @@
         self.service = service
         self.requests = 0
 
-    async def get(self, key: str) -> state.Item | None:
+    async def get(self, key: str) -> state_messages.Item | None:
         self.requests += 1
         await asyncio.sleep(0)
         found = self.service.keys.get(key)
-        return None if found is None else state.Item(key, msgspec.Raw(msgspec.json.encode(found[0])), found[1])
+        return None if found is None else state_messages.Item(key, msgspec.Raw(msgspec.json.encode(found[0])), found[1])
 
-    async def list(self, prefix: str) -> tuple[list[state.Item], int]:
+    async def list(self, prefix: str) -> tuple[list[state_messages.Item], int]:
         keys = sorted(k for k in self.service.keys if k.startswith(prefix))
         return [i for k in keys if (i := await self.get(k))], self.service.revision
 
-    async def commit(self, txn: state.Transaction) -> state.Committed | state.Conflict:
+    async def commit(self, txn: state_messages.Transaction) -> state_messages.Committed | state_messages.Conflict:
         self.requests += 1
         await asyncio.sleep(0)
         code, answer = self.service.commit(msgspec.json.decode(msgspec.json.encode(txn)))
         return (
-            state.Committed(answer["ledgerRev"])
+            state_messages.Committed(answer["ledgerRev"])
             if code == 200
-            else state.Conflict(answer["failed"], answer["ledgerRev"])
+            else state_messages.Conflict(answer["failed"], answer["ledgerRev"])
         )
 
 
 class Uploads:
     def __init__(self) -> None:
         self.blobs: dict[str, bytes] = {}
-        self.tasks: dict[str, dict[int, list[wire.Work]]] = {}
+        self.tasks: dict[str, dict[int, list[flow_messages.Work]]] = {}
 
     async def put(self, content: bytes) -> str:
         digest = hashlib.sha256(content).hexdigest()
@@ -62,18 +62,18 @@
     async def get(self, digest: str) -> bytes:
         return self.blobs[digest]
 
-    async def describe(self, job: str, page: int, works: list[wire.Work]) -> None:
+    async def describe(self, job: str, page: int, works: list[flow_messages.Work]) -> None:
         self.tasks.setdefault(job, {}).setdefault(page, works)
 
-    async def found(self, job: str, failed: bool = False) -> list[wire.FoundItem]:
-        def text(work: wire.Work) -> str:
+    async def found(self, job: str, failed: bool = False) -> list[flow_messages.FoundItem]:
+        def text(work: flow_messages.Work) -> str:
             return "(" + "+".join(work.command[1:]) + ")"
 
         works = chain(*self.tasks[job].values())
         return [
-            wire.FoundItem(
+            flow_messages.FoundItem(
                 n,
-                wire.Found(
+                flow_messages.Found(
                     "vm-1", 1, 0, True, {"out": [{"class": "File", "basename": "out.txt", "contents": text(w)}]}
                 ),
             )
@@ -105,8 +105,8 @@
     def near(self, ref: str, machines: Any) -> None:
         pass
 
-    def leadership(self) -> state.Condition:
-        return state.Condition("leader", self.term)
+    def leadership(self) -> state_messages.Condition:
+        return state_messages.Condition("leader", self.term)
 
     async def cancel(self, ref: str) -> None:
         if f"job/{ref}" in self.state.service.keys:
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -13,7 +13,7 @@
 from tornado.testing import bind_unused_port
 
 from winglift.net.client import Unanswered
-from winglift.net.outside import Requests, Server, here, steady
+from winglift.net.runtime import Requests, Server, current_runtime, monotonic_time
 
 from .gangs import Gangs
 from .processes import Processes
@@ -41,7 +41,7 @@
         self.run_s = run_s
         self.report_s, self.lease_s = report_s, lease_s
         self.session, self.seq, self.token = 1, 0, 0
-        self.answered = steady()
+        self.answered = monotonic_time()
         self.tasks: dict[tuple[str, int], dict[str, Any]] = {}
         self.starts: list[tuple[float, str]] = []  # what began to run here, and when
         self.processes = processes
@@ -69,7 +69,7 @@
             [(r"/commands", _Commands, {"worker": self}), (r"/show", _Show, {"worker": self})],
             log_function=lambda handler: None,
         )
-        self._server = here().serve(app, host, int(number))
+        self._server = current_runtime().serve(app, host, int(number))
         self._loop = asyncio.ensure_future(self._run())
 
     def kill(self) -> None:
@@ -97,7 +97,7 @@
 
     def report(self) -> dict[str, Any]:
         self.seq += 1
-        now = steady()
+        now = monotonic_time()
         for task in self.tasks.values():
             if task["status"] == "running" and now >= task["ends"]:
                 task["status"], task["exitCause"] = "ended", "done"
@@ -120,7 +120,7 @@
         for order in orders:
             key = (order["piece"], order["tryNo"])
             if order["verb"] == "run" and key not in self.tasks:
-                self.starts.append((steady(), order["piece"]))
+                self.starts.append((monotonic_time(), order["piece"]))
                 self.changed(self, "starts", order["piece"])
                 self._start(key)
             elif order["verb"] == "halt" and key in self.tasks and self.tasks[key]["status"] != "ended":
@@ -137,11 +137,11 @@
         if described:
             self._running[key] = asyncio.ensure_future(self._process(key))
         elif spec is None:
-            self.tasks[key]["ends"] = steady() + self.run_s(key[0])
+            self.tasks[key]["ends"] = monotonic_time() + self.run_s(key[0])
         else:
             self.tasks[key]["status"] = "fetching"
-            here_at = self._images.setdefault(spec["bundle"], steady() + spec["pullGb"] / self.fetch_gb_per_s)
-            asyncio.get_running_loop().call_later(max(0.0, here_at - steady()), self._fetched, key, spec)
+            here_at = self._images.setdefault(spec["bundle"], monotonic_time() + spec["pullGb"] / self.fetch_gb_per_s)
+            asyncio.get_running_loop().call_later(max(0.0, here_at - monotonic_time()), self._fetched, key, spec)
 
     def _fetched(self, key: tuple[str, int], spec: dict[str, Any]) -> None:
         if key not in self.tasks or self.tasks[key]["status"] != "fetching":
@@ -154,7 +154,7 @@
 
     def go(self, key: tuple[str, int]) -> None:
         """The task runs from now on."""
-        self.tasks[key].update(status="running", ends=steady() + self.run_s(key[0]))
+        self.tasks[key].update(status="running", ends=monotonic_time() + self.run_s(key[0]))
 
     def exit(self, key: tuple[str, int], why: str) -> None:
         """The task ends now; its gang will notice."""
@@ -166,7 +166,7 @@
         clients: dict[str, Requests] = {}
         at = 0
         while True:
-            now = steady()
+            now = monotonic_time()
             if now - self.answered > self.lease_s:
                 self._forget()
                 self.session += 1
@@ -174,10 +174,10 @@
             if self.mute or not self.controllers:
                 await asyncio.sleep(self.report_s)
                 continue
-            sent = steady()
+            sent = monotonic_time()
             name, addr = self.controllers[at % len(self.controllers)]
             host, _, port = addr.partition(":")
-            client = clients.setdefault(addr, here().client(host, int(port), 1))
+            client = clients.setdefault(addr, current_runtime().client(host, int(port), 1))
             try:
                 reply = await client.request("POST", "/v1/report", json.dumps(self.report()).encode(), self.try_s)
             except Unanswered:
--- a/standins/world.py
+++ b/standins/world.py
@@ -17,7 +17,7 @@
 from tornado import httputil
 from tornado.iostream import StreamClosedError
 
-from winglift.net import outside
+from winglift.net import runtime
 from winglift.net.client import NotSent, Reply, Unanswered
 
 from .loop import Loop, Stops
@@ -78,15 +78,15 @@
         self.steps_left = 0
         self._drawn = 0
         self.context = contextvars.copy_context()
-        self.context.run(outside.enter, self)
+        self.context.run(runtime.use_runtime, self)
 
-    def steady(self) -> float:
+    def monotonic_time(self) -> float:
         return 1000.0 + self.net.loop.now * (1 + self.drift)
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         return EPOCH + self.net.loop.now + self.skew_s
 
-    def chance(self) -> random.Random:
+    def random_source(self) -> random.Random:
         self._drawn += 1
         return random.Random(f"{self.net.seed}/{self.name}/{self._drawn}")
 
@@ -99,7 +99,7 @@
     async def connect(self, host: str, port: int) -> _Pipe:
         return await self.net.connect(self, f"{host}:{port}")
 
-    def listen(self, host: str, port: int, on_stream: outside.OnStream) -> Callable[[], None]:
+    def listen(self, host: str, port: int, on_stream: runtime.OnStream) -> Callable[[], None]:
         self.net.listeners[f"{host}:{port}"] = (self, on_stream)
         return lambda: self.net.shut(self)
 
