--- a/winglift/api/handlers.py
+++ b/winglift/api/handlers.py
@@ -10,15 +10,15 @@
 from tornado import httputil, web
 from tornado.httputil import HTTPServerRequest
 
-from .. import constants as c
-from ..model.records import BadRecord
-from ..wire import users
-from .jobs import Jobs, NeverRuns, NotNow
+from .. import constants
+from ..model.records import InvalidRecord
+from ..wire import users as user_messages
+from .jobs import Jobs, TemporarilyUnavailable, Unschedulable
 
 log = logging.getLogger(__name__)
 
 
-class Service(Protocol):
+class ApiHost(Protocol):
     """What the handlers need of the node that they belong to."""
 
     @property
@@ -32,9 +32,9 @@
 
 
 class Base(web.RequestHandler):
-    node: Service
+    node: ApiHost
 
-    def initialize(self, node: Service) -> None:
+    def initialize(self, node: ApiHost) -> None:
         self.node = node
 
     def check_etag_header(self) -> bool:
@@ -57,7 +57,7 @@
 
     def write_error(self, status_code: int, **kwargs: object) -> None:
         if status_code == 500:
-            self.set_header("Retry-After", str(c.RETRY_AFTER_S))
+            self.set_header("Retry-After", str(constants.RETRY_AFTER_S))
         self.finish(msgspec.json.encode({"error": httputil.responses.get(status_code, "error").lower()}))
 
     def log_exception(self, typ, value, tb):  # type: ignore[no-untyped-def]
@@ -65,7 +65,7 @@
             log.error("%s %s", self.request.method, self.request.path, exc_info=(typ, value, tb))
 
     def ref(self, text: str) -> str | None:
-        if users.is_ref(text):
+        if user_messages.is_ref(text):
             return text
         self.refuse(400, "ref: expected the form wk-000412")
         return None
@@ -75,21 +75,21 @@
     def prepare(self) -> None:
         if self.node.crowded():
             self.set_header("Connection", "close")
-            self.refuse(503, "too many connections", c.RETRY_AFTER_S)
+            self.refuse(503, "too many connections", constants.RETRY_AFTER_S)
 
     async def tell(self, ask: Callable[[], Awaitable[tuple[int, object]]], missing: str = "no such job") -> None:
         """Answer with status and reply, None being 404, or say what stands against it."""
         try:
             status, reply = await ask()
-        except users.Invalid as err:
+        except user_messages.Invalid as err:
             self.refuse(400, str(err))
-        except NeverRuns as err:
+        except Unschedulable as err:
             self.refuse(422, str(err))
-        except NotNow as err:
+        except TemporarilyUnavailable as err:
             self.refuse(503, str(err), err.retry_after)
-        except BadRecord as err:
+        except InvalidRecord as err:
             log.error("%s: record: %s", self.request.path, err)
-            self.refuse(503, "record can't be read", c.RETRY_AFTER_S)
+            self.refuse(503, "record can't be read", constants.RETRY_AFTER_S)
         else:
             if reply is None:
                 self.refuse(404, missing)
@@ -100,7 +100,7 @@
 class Submit(ForUsers):
     async def post(self) -> None:
         async def ask() -> tuple[int, object]:
-            return await self.node.jobs.submit(users.parse_submission(self.request.body))
+            return await self.node.jobs.submit(user_messages.parse_submission(self.request.body))
 
         await self.tell(ask)
 
@@ -134,7 +134,7 @@
         if why is None:
             self.reply(200, {"up": True})
         else:
-            self.refuse(503, why, c.RETRY_AFTER_S)
+            self.refuse(503, why, constants.RETRY_AFTER_S)
 
 
 class NotFound(Base):
@@ -149,7 +149,7 @@
         log.debug("%d %s %s", handler.get_status(), request.method, request.path)
 
 
-def application(node: Service, more: list[tuple] | None = None) -> web.Application:
+def application(node: ApiHost, more: list[tuple] | None = None) -> web.Application:
     args = {"node": node}
     return web.Application(
         [
--- a/winglift/api/jobs.py
+++ b/winglift/api/jobs.py
@@ -6,30 +6,30 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from .. import constants as c
+from .. import constants
 from ..config.settings import Settings
 from ..model import records
-from ..model.job import JobState
-from ..model.teams import exceeds_limit
-from ..net.outside import steady, wall
-from ..store.client import Health, LeaseGone, Refused, StateClient, Unknown
+from ..model.job_state import JobState
+from ..model.quota import exceeds_limit
+from ..net.runtime import monotonic_time, wall_time
+from ..store.client import Health, LeaseExpired, OutcomeUnknown, RequestRejected, StateClient
 from ..store.read_cache import ReadCache
-from ..wire import state as wire
+from ..wire import state as state_messages
 from ..wire.cloud import MachineType
 from ..wire.users import JobStatus, StatusReply, Submission, encode
 
 log = logging.getLogger(__name__)
 
 
-class NotNow(Exception):
+class TemporarilyUnavailable(Exception):
     """Can't be decided now; the user is told when to come back."""
 
-    def __init__(self, why: str, retry_after: int = c.RETRY_AFTER_S) -> None:
+    def __init__(self, why: str, retry_after: int = constants.RETRY_AFTER_S) -> None:
         super().__init__(why)
         self.retry_after = retry_after
 
 
-class NeverRuns(Exception):
+class Unschedulable(Exception):
     """The job can never run (422)."""
 
 
@@ -41,7 +41,7 @@
         return StatusReply(ref, JobStatus.DONE, record.spec.tasks, 0)
     if state is JobState.CANCELLED:
         return StatusReply(ref, JobStatus.CANCELLED, done, 0)
-    running = records.held_count(record)
+    running = records.assigned_count(record)
     return StatusReply(ref, JobStatus.RUNNING if running else JobStatus.QUEUED, done, running)
 
 
@@ -81,7 +81,7 @@
         self._on_change = on_change
         self._on_seen = on_seen  # a record that anybody has committed, as users are told of it here
         self._ends: OrderedDict[str, StatusReply] = OrderedDict()
-        looks = settings.settings.state.rps * state.follower_share() * c.LOOK_SHARE
+        looks = settings.settings.state.rps * state.follower_share() * constants.REFRESH_SHARE
         self._read_cache: ReadCache[StatusReply] = ReadCache(
             state, lambda ref, record: status_of(record, ref), 1 / looks, on_seen
         )
@@ -90,17 +90,17 @@
         """An end never changes, so it may be answered without asking."""
         if reply.status in (JobStatus.DONE, JobStatus.CANCELLED):
             self._ends[ref] = reply
-            while len(self._ends) > c.ENDS_CACHED:
+            while len(self._ends) > constants.FINAL_STATES_CACHED:
                 self._ends.popitem(last=False)
 
-    def _down(self, why: str) -> NotNow:
+    def _down(self, why: str) -> TemporarilyUnavailable:
         down = self.state.health() is Health.DOWN
-        return NotNow(why, c.RETRY_AFTER_DOWN_S if down else c.RETRY_AFTER_S)
+        return TemporarilyUnavailable(why, constants.RETRY_AFTER_DOWN_S if down else constants.RETRY_AFTER_S)
 
     async def _read(self, ref: str) -> tuple[records.JobRecord, int] | None:
         try:
-            item = await self.state.get(records.JOB + ref, timeout=c.STATUS_TIMEOUT_S)
-        except (Refused, Unknown) as err:
+            item = await self.state.get(records.JOB_PREFIX + ref, timeout=constants.STATUS_TIMEOUT_S)
+        except (RequestRejected, OutcomeUnknown) as err:
             raise self._down(str(err)) from None
         return None if item is None else (records.decode(item.value), item.version)
 
@@ -111,7 +111,7 @@
             return end
         try:
             reply = await self._read_cache.get(ref)
-        except (Refused, Unknown) as err:
+        except (RequestRejected, OutcomeUnknown) as err:
             raise self._down(str(err)) from None
         if reply is not None:
             self.remember_end(ref, reply)
@@ -133,34 +133,36 @@
                 return 200, known
             if not unknown and feasible(spec, self.settings, types | self.missing()) is None:
                 # The cloud's answer may be short for a moment; a refusal is for ever.
-                raise NotNow("the only machine type that it fits is not offered now")
-            raise NotNow(why) if unknown else NeverRuns(why)
-        record = records.fresh(spec, wall())
+                raise TemporarilyUnavailable("the only machine type that it fits is not offered now")
+            raise TemporarilyUnavailable(why) if unknown else Unschedulable(why)
+        record = records.new_record(spec, wall_time())
         if len(encode(record)) > self.settings.settings.state.value_kb * 1024 * 0.6:
-            raise NeverRuns("the description is too long to be kept")
-        condition, put = records.change(spec.ref, 0, JobState.OPEN, record)
-        sent = steady()
+            raise Unschedulable("the description is too long to be kept")
+        condition, put = records.record_change(spec.ref, 0, JobState.OPEN, record)
+        sent = monotonic_time()
         try:
-            result = await self.state.commit(wire.Transaction([condition], [put]), timeout=c.SUBMIT_TIMEOUT_S)
-        except (Refused, LeaseGone) as err:
+            result = await self.state.commit(
+                state_messages.Transaction([condition], [put]), timeout=constants.SUBMIT_TIMEOUT_S
+            )
+        except (RequestRejected, LeaseExpired) as err:
             raise self._down(str(err)) from None
-        except Unknown as err:
+        except OutcomeUnknown as err:
             # It may have been taken. Only a reading tells; otherwise the user asks again.
             known = await self.status(spec.ref)
             if known is not None:
                 return 200, known
             raise self._down(str(err)) from None
-        if isinstance(result, wire.Conflict):
+        if isinstance(result, state_messages.Conflict):
             known = await self.status(spec.ref)
             if known is None:
-                raise NotNow("the state service contradicts itself")
+                raise TemporarilyUnavailable("the state service contradicts itself")
             return 200, known
         # Told only now, after the commit (invariant 4).
-        self._read_cache.note(spec.ref, result.revision, record)
+        self._read_cache.add_record(spec.ref, result.revision, record)
         self._on_change(spec.ref, result.revision, record)
-        if steady() - sent > c.SUBMIT_TIMEOUT_S + c.LOOK_FRESH_S:
+        if monotonic_time() - sent > constants.SUBMIT_TIMEOUT_S + constants.REFRESH_VALID_S:
             # A copy of the request may have been answered elsewhere, and the job be over: it is looked up.
-            raise NotNow("this node stood still")
+            raise TemporarilyUnavailable("this node stood still")
         return 201, StatusReply(spec.ref, JobStatus.QUEUED)
 
     async def cancel(self, ref: str) -> StatusReply | None:
@@ -168,14 +170,14 @@
         end = self._ends.get(ref)
         if end is not None:
             return end
-        for _ in range(c.CANCEL_TRIES):
+        for _ in range(constants.CANCEL_TRIES):
             found = await self._read(ref)
             if found is None:
                 return None
             record, version = found
             reply = status_of(record, ref)
             recorded = JobState(record.state)
-            if recorded.final:
+            if recorded.is_final:
                 # Perhaps by this node's own transaction that got no answer, or by a node that ended before it could
                 # tell anybody: who confirms an end answers for it, whoever has written it.
                 self._on_seen(ref, version, record)
@@ -183,17 +185,17 @@
                 return reply
             record.state = JobState.CANCELLED.value
             # Read before the commit, and so before the user is told: whoever leads later counts cancel_s from it.
-            record.cancelled = wall()
-            condition, put = records.change(ref, version, recorded, record)
+            record.cancelled_at = wall_time()
+            condition, put = records.record_change(ref, version, recorded, record)
             try:
-                result = await self.state.commit(wire.Transaction([condition], [put]))
-            except Unknown:
+                result = await self.state.commit(state_messages.Transaction([condition], [put]))
+            except OutcomeUnknown:
                 continue  # read again: it may have been carried out
-            except (Refused, LeaseGone) as err:
+            except (RequestRejected, LeaseExpired) as err:
                 raise self._down(str(err)) from None
-            if isinstance(result, wire.Committed):
+            if isinstance(result, state_messages.Committed):
                 self._on_change(ref, result.revision, record)
                 reply = status_of(record, ref)
                 self.remember_end(ref, reply)
                 return reply
-        raise NotNow("the job changes too often just now")
+        raise TemporarilyUnavailable("the job changes too often just now")
--- a/winglift/api/front.py
+++ b/winglift/api/report_fast_path.py
@@ -14,7 +14,7 @@
 Handle = Callable[[bytes], Answer | asyncio.Future[Answer]]
 
 
-class Front(httputil.HTTPServerConnectionDelegate):
+class ReportFastPath(httputil.HTTPServerConnectionDelegate):
     """At 515 machines a web handler per report cost each node a third of its work."""
 
     def __init__(self, application: web.Application, on_report: Handle) -> None:
@@ -29,7 +29,7 @@
 
 
 class _Request(httputil.HTTPMessageDelegate):
-    def __init__(self, front: Front, server_conn: object, request_conn: httputil.HTTPConnection) -> None:
+    def __init__(self, front: ReportFastPath, server_conn: object, request_conn: httputil.HTTPConnection) -> None:
         self.front = front
         self.server_conn = server_conn
         self.request_conn = request_conn
--- a/winglift/cli/client.py
+++ b/winglift/cli/client.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from .. import constants as c
+from .. import constants
 from ..config.settings import SettingsError, parse_addr
 from ..net.client import Client, NotSent, Reply, Unanswered
-from ..wire import flows as wire
+from ..wire import flows as flow_messages
 
 
 class ServerError(Exception):
@@ -21,7 +21,7 @@
 class Server:
     """Several addresses, asked in turn: any node answers."""
 
-    def __init__(self, addresses: str, patience_s: float = c.CLIENT_PATIENCE_S) -> None:
+    def __init__(self, addresses: str, patience_s: float = constants.CLIENT_RETRY_S) -> None:
         try:
             found = [parse_addr(a.strip(), "--server") for a in addresses.split(",")]
         except SettingsError as err:
@@ -35,9 +35,9 @@
         end = time.monotonic() + self._patience_s
         while True:
             node = self._nodes[self._at % len(self._nodes)]
-            pause = c.CLIENT_AGAIN_S
+            pause = constants.CLIENT_AGAIN_S
             try:
-                reply = await node.request(method, path, body, c.CLIENT_TIMEOUT_S)
+                reply = await node.request(method, path, body, constants.CLIENT_TIMEOUT_S)
                 if reply.status not in (429, 503, 504):
                     return reply
                 why = f"{reply.status} {_error(reply)}"
@@ -51,8 +51,8 @@
                 raise ServerError(f"no answer for {self._patience_s:g} s: {why}")
             await asyncio.sleep(pause)
 
-    async def reply(self, method: str, path: str, body: bytes | None = None) -> wire.FlowReply:
-        return _decode(wire.replies, await self.good(method, path, body))
+    async def reply(self, method: str, path: str, body: bytes | None = None) -> flow_messages.FlowReply:
+        return _decode(flow_messages.replies, await self.good(method, path, body))
 
     async def good(self, method: str, path: str, body: bytes | None = None) -> Reply:
         reply = await self.ask(method, path, body)
@@ -60,7 +60,7 @@
             raise ServerError(f"{reply.status}: {_error(reply)}")
         return reply
 
-    async def flow(self, ref: str) -> wire.FlowReply:
+    async def flow(self, ref: str) -> flow_messages.FlowReply:
         """A workflow with all its steps."""
         reply = await self.reply("GET", f"/flows/{ref}")
         steps = list(reply.steps)
@@ -69,18 +69,18 @@
             steps += reply.steps
         return msgspec.structs.replace(reply, steps=steps)
 
-    async def flows(self) -> list[wire.FlowReply]:
-        found: list[wire.FlowReply] = []
+    async def flows(self) -> list[flow_messages.FlowReply]:
+        found: list[flow_messages.FlowReply] = []
         while True:
             after = found[-1].ref if found else ""
-            page = _decode(wire.lists, await self.good("GET", f"/flows?after={after}"))
+            page = _decode(flow_messages.lists, await self.good("GET", f"/flows?after={after}"))
             found += page.flows
             if not page.more or not page.flows:
                 return found
 
     async def files(self) -> str:
         """Where uploads go, as the nodes say it."""
-        return _decode(wire.lists, await self.good("GET", "/flows?after=z")).files
+        return _decode(flow_messages.lists, await self.good("GET", "/flows?after=z")).files
 
 
 def _decode(decoder: Any, reply: Reply) -> Any:
--- a/winglift/cli/flow.py
+++ b/winglift/cli/flow.py
@@ -13,12 +13,12 @@
 import click
 import msgspec
 
-from .. import constants as c
+from .. import constants
 from ..config.settings import parse_addr
 from ..flows.files import Files, FilesError, Missing
 from ..flows.graph import graph
 from ..flows.values import FlowError
-from ..wire import flows as wire
+from ..wire import flows as flow_messages
 from ..wire.flows import FlowReply, FlowState
 from .client import Server, ServerError
 from .show import describe, display, draw, step_states
@@ -30,7 +30,7 @@
     """The exit code; what goes wrong is one line on standard error."""
     try:
         return asyncio.run(work)
-    except (ServerError, FilesError, FlowError, wire.Invalid) as err:
+    except (ServerError, FilesError, FlowError, flow_messages.Invalid) as err:
         print(f"winglift: {err}", file=sys.stderr)
         return 1
 
@@ -137,11 +137,13 @@
     store = Files(*parse_addr(files or await server.files(), "--files"))
     for content in found.blobs.values():
         await store.put(content)
-    plan, order = await store.put(wire.encode(found.plan)), await store.put(msgspec.json.encode(found.order))
+    plan, order = await store.put(flow_messages.encode(found.plan)), await store.put(msgspec.json.encode(found.order))
     # The id is chosen once: every repetition of the request is the same workflow.
     ref = ref or f"fl-{random.SystemRandom().randrange(10**17)}"
-    sub = wire.FlowSubmission(ref=ref, team=team, plan=plan, order=order, due_s=due or hints.deadline_s, reuse=reuse)
-    return await server.reply("POST", "/flows", wire.encode(sub))
+    sub = flow_messages.FlowSubmission(
+        ref=ref, team=team, plan=plan, order=order, due_s=due or hints.deadline_s, reuse=reuse
+    )
+    return await server.reply("POST", "/flows", flow_messages.encode(sub))
 
 
 @flow.command()
@@ -197,11 +199,11 @@
         with display() as shown:
             next_look = 0.0
             while reply.state is FlowState.OPEN:
-                await asyncio.sleep(c.CLIENT_POLL_S)
+                await asyncio.sleep(constants.CLIENT_POLL_S)
                 reply = await nodes.reply("GET", f"/flows/{reply.ref}?steps=no")
                 if time.monotonic() >= next_look or reply.state is not FlowState.OPEN:
                     reply = await nodes.flow(reply.ref)
-                    next_look = time.monotonic() + len(reply.steps) * c.CLIENT_STEPS_SHARE
+                    next_look = time.monotonic() + len(reply.steps) * constants.CLIENT_STEPS_SHARE
                     shown.show(reply)
         return await _finish(reply, nodes, files, outdir)
 
@@ -241,7 +243,7 @@
         listing = [await _save(v, path, store, taken) for v in value.get("listing") or []]
         return value | {"location": path.resolve().as_uri(), "path": str(path.resolve()), "listing": listing}
     folder.mkdir(parents=True, exist_ok=True)
-    path.write_bytes(await store.get(value["location"].removeprefix(wire.UPLOAD)))
+    path.write_bytes(await store.get(value["location"].removeprefix(flow_messages.UPLOAD)))
     return value | {"location": path.resolve().as_uri(), "path": str(path.resolve())}
 
 
@@ -317,12 +319,12 @@
     """A picture of the steps and the critical path: of a file, or of a workflow by its id, coloured by state."""
 
     async def work() -> int:
-        if wire.is_flow(what):
+        if flow_messages.is_flow(what):
             nodes_ = Server(server)
             reply = await nodes_.flow(what)
             store = Files(*parse_addr(files or await nodes_.files(), "--files"))
             try:
-                nodes = graph(wire.parse_plan(await store.get(reply.plan)))
+                nodes = graph(flow_messages.parse_plan(await store.get(reply.plan)))
             except Missing:
                 raise ServerError(f"the plan of {what} is no longer there") from None
             states, title = step_states(nodes, reply.steps), f"{what}: {reply.state.value}"
--- a/winglift/cli/trial.py
+++ b/winglift/cli/trial.py
@@ -16,7 +16,7 @@
 import click
 import msgspec
 
-from .. import constants as c
+from .. import constants
 from .client import Server, ServerError
 
 JOBS: list[tuple[str, dict[str, Any]]] = [
@@ -88,7 +88,7 @@
             command = [sys.executable, "-m", "winglift", "serve", "--config", str(config)]
             command += ["--workflows", str(workflows)] if flows else []
             processes.append(await asyncio.create_subprocess_exec(*command, env=environment))
-        server = Server(",".join(made.addresses), c.TRY_PATIENCE_S)
+        server = Server(",".join(made.addresses), constants.TRY_TIMEOUT_S)
         await _healthy(server, processes)
         for address, process in zip(made.addresses, processes, strict=True):
             click.echo(f"controller on {address}, process {process.pid}", err=True)
@@ -107,7 +107,7 @@
 
 
 async def _healthy(server: Server, processes: list[asyncio.subprocess.Process]) -> None:
-    end = time.monotonic() + c.TRY_PATIENCE_S
+    end = time.monotonic() + constants.TRY_TIMEOUT_S
     while (await server.ask("GET", "/up")).status != 200:
         if time.monotonic() > end or any(p.returncode is not None for p in processes):
             raise ServerError("the controllers did not start")
@@ -137,7 +137,7 @@
         good = await run.wait() == 0
     elif flows is False:
         click.echo("no workflow: requirements-flows.txt is not installed", err=True)
-    end = time.monotonic() + c.TRY_PATIENCE_S
+    end = time.monotonic() + constants.TRY_TIMEOUT_S
     left = [ref for ref, _ in JOBS]
     while left and time.monotonic() < end:
         reply = msgspec.json.decode((await server.good("GET", f"/work/{left[0]}")).body)
--- a/winglift/cloud/inventory.py
+++ b/winglift/cloud/inventory.py
@@ -7,16 +7,16 @@
 
 from msgspec.structs import replace
 
-from .. import constants as c
-from ..duties.book import Book, FenceLost
-from ..duties.effect import Effect, Event, State
+from .. import constants
+from ..duties.external_operation import ExternalOperation, OperationEvent, OperationState
+from ..duties.intent_log import FenceLost, IntentLog
+from ..model.cluster_state import ClusterState
 from ..model.entities import Machine
-from ..model.job import JobState
-from ..model.machine import MachineEvent, MachineState
-from ..model.picture import Picture
-from ..net.outside import steady
+from ..model.job_state import JobState
+from ..model.machine_state import MachineEvent, MachineState
+from ..net.runtime import monotonic_time
 from ..policy.snapshot import Rental
-from ..wire import cloud as wire
+from ..wire import cloud as cloud_messages
 from .client import CloudClient, CloudError, NoCapacity
 
 log = logging.getLogger(__name__)
@@ -27,18 +27,20 @@
 class Inventory:
     """Rents and deletes machines for one term, and reconciles them with the cloud's list."""
 
-    def __init__(self, cloud: CloudClient, picture: Picture, list_lag_s: float, book: Book) -> None:
+    def __init__(self, cloud: CloudClient, cluster: ClusterState, list_lag_s: float, intent_log: IntentLog) -> None:
         self.cloud = cloud
-        self.picture = picture
+        self.cluster = cluster
         self.list_lag_s = list_lag_s
-        self.book = book
-        self.asked: dict[str, Effect] = {}  # rentals without an answer: their machines count as booting
-        self.refused: dict[Place, float] = {}  # until when it is not asked for again
+        self.intent_log = intent_log
+        self.pending_rentals: dict[
+            str, ExternalOperation
+        ] = {}  # rentals without an answer: their machines count as booting
+        self.capacity_refusals: dict[Place, float] = {}  # until when it is not asked for again
         self._in_a_row: dict[Place, int] = {}  # refusals since anything was to be had there
-        self.listed_once = False
+        self.has_listed = False
         self._number = 0
         self._tasks: set[asyncio.Task] = set()
-        self._unsent: dict[Place, Effect] = {}
+        self._unsent: dict[Place, ExternalOperation] = {}
         self._to_delete: dict[str, Machine] = {}
         self._sender: asyncio.Task | None = None
 
@@ -64,13 +66,17 @@
         key = (rental.type, rental.zone, rental.spot)
         waiting = self._unsent.get(key)
         if waiting is not None and waiting.request is not None:
-            waiting.request = replace(waiting.request, count=min(waiting.request.count + rental.count, c.RENT_MOST))
+            waiting.request = replace(
+                waiting.request, count=min(waiting.request.count + rental.count, constants.RENT_MAX)
+            )
             return
         self._number += 1
         # The name holds the term, which no other node ever has: a name is never reused (invariant 6).
-        name = f"t{self.picture.term}-{self._number}"
-        request = wire.Rent(name, rental.type, rental.zone, rental.spot, min(rental.count, c.RENT_MOST))
-        self.asked[name] = self._unsent[key] = Effect(name, steady(), request)
+        name = f"t{self.cluster.term}-{self._number}"
+        request = cloud_messages.Rent(
+            name, rental.type, rental.zone, rental.spot, min(rental.count, constants.RENT_MAX)
+        )
+        self.pending_rentals[name] = self._unsent[key] = ExternalOperation(name, monotonic_time(), request)
         if self._sender is None or self._sender.done():
             # One at a time: a second one once found that the first had sent all that there was.
             self._sender = self.spawn(self._send())
@@ -83,14 +89,14 @@
                 continue
             key = max(self._unsent, key=lambda k: _count(self._unsent[k]))
             # From here on its request stays as it is: a name stands for one request, for ever.
-            effect = self.book.intend(self._unsent.pop(key))
+            operation = self.intent_log.intend(self._unsent.pop(key))
             try:
                 # Recorded under the fence before it is sent: whoever follows repeats the same name, and rents nothing
                 # twice.
-                await self.book.record([effect])
+                await self.intent_log.persist([operation])
             except FenceLost:
                 return
-            self.spawn(self._rent(effect))
+            self.spawn(self._rent(operation))
             await asyncio.sleep(0)  # let the call take its turn
 
     def _still_wanted(self) -> bool:
@@ -99,35 +105,37 @@
         Such requests once went out all the same, while their tasks counted on machines that never came: in the first
         95 s of a day 95 calls were refused.
         """
-        for key in [k for k in self._unsent if self.refused.get(k, 0.0) > steady()]:
-            effect = self._unsent.pop(key)
-            self.asked.pop(effect.name, None)
-            self.picture.changed = True
+        for key in [k for k in self._unsent if self.capacity_refusals.get(k, 0.0) > monotonic_time()]:
+            operation = self._unsent.pop(key)
+            self.pending_rentals.pop(operation.name, None)
+            self.cluster.changed = True
         return bool(self._unsent)
 
     def _refuse(self, key: Place, now: float) -> None:
         """All of a type, zone and kind is taken: ask again later, and ever more rarely while that stays so."""
         row = self._in_a_row[key] = self._in_a_row.get(key, 0) + 1
-        self.refused[key] = now + min(c.NO_CAPACITY_PAUSE_S * 2 ** (row - 1), c.NO_CAPACITY_MOST_S)
+        self.capacity_refusals[key] = now + min(
+            constants.NO_CAPACITY_PAUSE_S * 2 ** (row - 1), constants.NO_CAPACITY_PAUSE_MAX_S
+        )
 
     def _freed(self, machine: Machine) -> None:
         """One of its kind was given back: it can be had again."""
         key = (machine.type_name, machine.zone, machine.spot)
-        self.refused.pop(key, None)
+        self.capacity_refusals.pop(key, None)
         self._in_a_row.pop(key, None)
 
-    async def _rent(self, effect: Effect) -> None:
-        request = effect.request
+    async def _rent(self, operation: ExternalOperation) -> None:
+        request = operation.request
         assert request is not None
         key = (request.type, request.zone, request.spot)
         try:
             while True:
                 try:
-                    effect.move(Event.SEND, steady())
+                    operation.move(OperationEvent.SEND, monotonic_time())
                     names = await self.cloud.rent(request)
                     break
                 except NoCapacity:
-                    self.book.abandon(effect, steady())
+                    self.intent_log.abandon(operation, monotonic_time())
                     log.info(
                         "cloud refuses %d %s in %s (%s)",
                         request.count,
@@ -135,13 +143,13 @@
                         request.zone,
                         "spot" if request.spot else "ordinary",
                     )
-                    self._refuse(key, steady())
+                    self._refuse(key, monotonic_time())
                     return
                 except CloudError as err:
                     # The same name again: if it was carried out, the answer is the same and nothing more is rented.
                     log.info("rental %s: %s", request.request, err)
-                    await asyncio.sleep(c.CLOUD_PAUSE_S)
-            now = steady()
+                    await asyncio.sleep(constants.CLOUD_PAUSE_S)
+            now = monotonic_time()
             if len(names) < request.count:
                 self._refuse(key, now)
             else:
@@ -153,52 +161,57 @@
                 "spot" if request.spot else "ordinary",
                 " ".join(names),
             )
-            effect.machines = tuple(names)
-            self.book.settle(effect, now)
-            self._booting(effect, now)
+            operation.machines = tuple(names)
+            self.intent_log.complete(operation, now)
+            self._booting(operation, now)
         finally:
-            self.asked.pop(request.request, None)
-            self.picture.changed = True
+            self.pending_rentals.pop(request.request, None)
+            self.cluster.changed = True
 
-    def _booting(self, effect: Effect, now: float) -> None:
+    def _booting(self, operation: ExternalOperation, now: float) -> None:
         """The machines that a rental has brought."""
-        request = effect.request
+        request = operation.request
         assert request is not None
-        for name in effect.machines:
-            if name in self.picture.deleted or name in self.book.deletions:
+        for name in operation.machines:
+            if name in self.cluster.deleted_machines or name in self.intent_log.deletions:
                 continue
-            machine = self.picture.adopt(
-                name, request.type, request.zone, request.spot, now, now - effect.at if effect.taken_over else 0.0
+            machine = self.cluster.register_machine(
+                name,
+                request.type,
+                request.zone,
+                request.spot,
+                now,
+                now - operation.intended_at if operation.inherited else 0.0,
             )
             if machine.state is MachineState.INHERITED and machine.last_heard is None:
                 machine.state = MachineState.BOOTING
 
-    def take_over(self, now: float) -> None:
+    def resume_operations(self, now: float) -> None:
         """Go on with what earlier holders had begun; the book is loaded."""
-        for effect in [e for e in self.book.deletions.values() if e.is_open]:
-            machine = self.picture.adopt(effect.name, "", "", False, now, None)
+        for operation in [e for e in self.intent_log.deletions.values() if e.is_open]:
+            machine = self.cluster.register_machine(operation.name, "", "", False, now, None)
             self.delete(machine, "an earlier term has begun to delete it")
-        for effect in list(self.book.rentals.values()):
-            if effect.is_open:
-                self.asked[effect.name] = effect
-                self.spawn(self._rent(effect))
+        for operation in list(self.intent_log.rentals.values()):
+            if operation.is_open:
+                self.pending_rentals[operation.name] = operation
+                self.spawn(self._rent(operation))
             else:
-                self._booting(effect, now)
-        self.picture.changed = True
+                self._booting(operation, now)
+        self.cluster.changed = True
 
-    def asked_places(self) -> list[tuple[str, str]]:
+    def pending_pools(self) -> list[tuple[str, str]]:
         """Type and zone of each machine that is asked for and not answered yet."""
         return [
             (a.request.type, a.request.zone)
-            for a in self.asked.values()
+            for a in self.pending_rentals.values()
             if a.request is not None
             for _ in range(a.request.count)
         ]
 
-    def refused_now(self, now: float) -> set[tuple[str, str, bool]]:
+    def current_refusals(self, now: float) -> set[tuple[str, str, bool]]:
         """Type, zone and kind (spot) of what the cloud has refused lately."""
-        self.refused = {k: t for k, t in self.refused.items() if t > now}
-        return set(self.refused)
+        self.capacity_refusals = {k: t for k, t in self.capacity_refusals.items() if t > now}
+        return set(self.capacity_refusals)
 
     # -- returning -----------------------------------------------------------------------------
 
@@ -206,10 +219,10 @@
         """Delete a machine: nothing is placed there from now on, whatever becomes of the call."""
         if machine.state is MachineState.DELETING or machine.name in self._to_delete:
             return
-        effect = self.book.intend(Effect(machine.name, steady()))
+        operation = self.intent_log.intend(ExternalOperation(machine.name, monotonic_time()))
         # What an earlier term has begun is told in one line (`take_over`): most of it is gone already.
         log.log(
-            logging.DEBUG if effect.taken_over and not machine.tasks else logging.INFO,
+            logging.DEBUG if operation.inherited and not machine.tasks else logging.INFO,
             "deletes %s in %s: %s (%d tasks)",
             machine.name,
             machine.zone,
@@ -227,33 +240,38 @@
         while self._to_delete:
             # What holds a cancelled task goes first, and by itself: a leader in doubt may still delete that.
             urgent = [n for n, m in self._to_delete.items() if holds_cancelled(m)]
-            batch = {n: self._to_delete[n] for n in (urgent or list(self._to_delete))[: c.DELETE_MOST]}
-            effects = [self.book.deletions[n] for n in batch]
+            batch = {n: self._to_delete[n] for n in (urgent or list(self._to_delete))[: constants.DELETE_MAX]}
+            operations = [self.intent_log.deletions[n] for n in batch]
             try:
-                async with asyncio.timeout(c.DELETE_RECORD_S):
-                    await self.book.record(effects)
+                async with asyncio.timeout(constants.DELETE_RECORD_S):
+                    await self.intent_log.persist(operations)
             except TimeoutError:
                 # What a committed cancellation demands is recorded in the job: it goes without the book.
                 if not urgent:
                     continue
             except FenceLost:
                 return
-            for effect in effects:
-                effect.move(Event.SEND if effect.state is not State.INTENDED else Event.SEND_UNRECORDED, steady())
+            for operation in operations:
+                operation.move(
+                    OperationEvent.SEND
+                    if operation.state is not OperationState.INTENDED
+                    else OperationEvent.SEND_UNRECORDED,
+                    monotonic_time(),
+                )
             try:
                 await self.cloud.delete(list(batch), ends=bool(urgent))
             except CloudError as err:
                 # Unanswered is not undone: the machines stay out of use, and the deletion is repeated.
                 log.info("deletion: %s", err)
-                await asyncio.sleep(c.CLOUD_PAUSE_S)
+                await asyncio.sleep(constants.CLOUD_PAUSE_S)
                 continue
-            now = steady()
-            for effect in effects:
-                self.book.settle(effect, now)
+            now = monotonic_time()
+            for operation in operations:
+                self.intent_log.complete(operation, now)
             for name, machine in batch.items():
                 self._to_delete.pop(name, None)
                 self._freed(machine)
-                self.picture.machine_gone(machine, now)
+                self.cluster.remove_machine(machine, now)
 
     # -- the list ------------------------------------------------------------------------------
 
@@ -261,20 +279,20 @@
         """Reconcile with the list every LIST_EVERY_S."""
         while True:
             try:
-                asked = steady()
+                asked = monotonic_time()
                 listed = await self.cloud.list()
-                self.reconcile(listed, steady(), asked)
-                self.listed_once = True
+                self.reconcile(listed, monotonic_time(), asked)
+                self.has_listed = True
             except CloudError as err:
                 log.info("machine list: %s", err)
-            await asyncio.sleep(c.LIST_EVERY_S)
+            await asyncio.sleep(constants.LIST_EVERY_S)
 
-    def reconcile(self, listed: list[wire.Listed], now: float, asked: float) -> None:
+    def reconcile(self, listed: list[cloud_messages.Listed], now: float, asked: float) -> None:
         """Take in a list that was asked for at that time; it is up to twice its lag older."""
-        picture = self.picture
+        cluster = self.cluster
         shown = {entry.name for entry in listed}
-        oldest = asked - 2 * self.list_lag_s - c.BOOK_KEEP_MARGIN_S
-        for machine in list(picture.machines.values()):
+        oldest = asked - 2 * self.list_lag_s - constants.INTENT_LOG_KEEP_MARGIN_S
+        for machine in list(cluster.machines.values()):
             if (
                 machine.name not in shown
                 and machine.state is MachineState.BOOTING
@@ -284,27 +302,27 @@
                 # It must have been listed, and would be still: it was taken before it came up.
                 self.delete(machine, "in no list any more")
         for entry in listed:
-            if entry.name in picture.deleted:
+            if entry.name in cluster.deleted_machines:
                 continue
-            known = entry.name in picture.machines
-            machine = picture.adopt(entry.name, entry.type, entry.zone, entry.spot, now, entry.age_s)
+            known = entry.name in cluster.machines
+            machine = cluster.register_machine(entry.name, entry.type, entry.zone, entry.spot, now, entry.age_s)
             if not known:
                 log.info("the list shows %s (%s, %s)", entry.name, entry.zone, entry.state)
                 if entry.state == "booting":
                     machine.state = MachineState.BOOTING
-                picture.changed = True
+                cluster.changed = True
             if entry.addr and not machine.addr:
                 machine.addr = entry.addr
             if entry.state == "failed":
                 self.delete(machine, "stopped on its own")
         # A name that was deleted long ago can't show up in a list any more.
         horizon = now - 600.0
-        for name in [n for n, t in picture.deleted.items() if t < horizon]:
-            del picture.deleted[name]
+        for name in [n for n, t in cluster.deleted_machines.items() if t < horizon]:
+            del cluster.deleted_machines[name]
 
 
-def _count(effect: Effect) -> int:
-    return effect.request.count if effect.request is not None else 0
+def _count(operation: ExternalOperation) -> int:
+    return operation.request.count if operation.request is not None else 0
 
 
 def holds_cancelled(machine: Machine) -> bool:
--- a/winglift/config/script.py
+++ b/winglift/config/script.py
@@ -13,16 +13,16 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from .. import constants as c
+from .. import constants
 
 log = logging.getLogger(__name__)
 
 # Settings a script may replace: name, (default, least, most).
 NUMBERS: dict[str, tuple[float, float, float]] = {
-    "idle_keep_s": (c.IDLE_KEEP_S, 0.0, 3600.0),
-    "slack_pad": (c.SLACK_PAD, 1.0, 10.0),
-    "reserve_deviations": (c.RESERVE_DEVIATIONS, 0.0, 10.0),
-    "move_loss_share": (c.MOVE_LOSS_SHARE, 1e-6, 0.1),
+    "idle_keep_s": (constants.IDLE_KEEP_S, 0.0, 3600.0),
+    "slack_pad": (constants.SLACK_PAD, 1.0, 10.0),
+    "reserve_deviations": (constants.WARM_POOL_DEVIATIONS, 0.0, 10.0),
+    "move_loss_share": (constants.MIGRATION_LOSS_SHARE, 1e-6, 0.1),
 }
 HOOKS = {
     "reserve": "reserve(class, proposed) -> number of tasks to keep room for",
@@ -78,7 +78,7 @@
             good, value = self._limited(hook, *args)
         except Exception as err:
             good, value = False, str(err)
-        if good and _usable(value) and 0 <= value <= c.MAX_AMOUNT:
+        if good and _usable(value) and 0 <= value <= constants.MAX_AMOUNT:
             return float(value)
         log.error("operator script: %s is switched off: %s", name, value if not good else f"returned {value!r}")
         del self.hooks[name]
@@ -104,7 +104,7 @@
         register_eval=False,
         register_builtins=False,
         unpack_returned_tuples=True,
-        max_memory=c.SCRIPT_MEMORY,
+        max_memory=constants.SCRIPT_MEMORY,
         attribute_filter=_no_attributes,
     )
     try:
@@ -112,8 +112,8 @@
         limited = lua.execute(f"""
             local sethook, pcall, error = debug.sethook, pcall, error
             return function(f, ...)
-                sethook(function() error("ran longer than {c.SCRIPT_INSTRUCTIONS} instructions", 0) end,
-                        "", {c.SCRIPT_INSTRUCTIONS})
+                sethook(function() error("ran longer than {constants.SCRIPT_INSTRUCTIONS} instructions", 0) end,
+                        "", {constants.SCRIPT_INSTRUCTIONS})
                 local good, value = pcall(f, ...)
                 sethook()
                 return good, value
--- /dev/null
+++ b/winglift/controller/machine_inspection.py
@@ -0,0 +1,51 @@
+"""What runs on one machine, as the policy sees it: tasks that might be preempted, replicas that could move."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from ..model.cluster_state import zone_counts
+from ..model.entities import Machine, MachineUsage
+from ..policy import snapshot as policy_snapshot
+from ..wire.users import Kind
+from .stop_cost import loses_gang_start, lost_work_s
+
+
+@dataclass(frozen=True, slots=True)
+class MachineInspection:
+    """What was found on a machine, for a given state of its tasks."""
+
+    load: MachineUsage
+    at: float
+    victims: list[policy_snapshot.Victim]
+    movable_replicas: list[policy_snapshot.MovableReplica]
+
+
+def inspect_tasks(
+    machine: Machine, within: set[str], now: float
+) -> tuple[list[policy_snapshot.Victim], list[policy_snapshot.MovableReplica]]:
+    """What on a machine might be stopped for other work, and what could be started elsewhere."""
+    victims: list[policy_snapshot.Victim] = []
+    replicas: list[policy_snapshot.MovableReplica] = []
+    for task in machine.tasks.values():
+        spec = task.job.spec
+        if task.preemptible:
+            victims.append(
+                policy_snapshot.Victim(
+                    task.job.ref,
+                    task.index,
+                    spec.priority,
+                    spec.team,
+                    spec.cpus,
+                    spec.gpus,
+                    spec.memory_gb,
+                    lost_work_s(task, now),
+                    spec.tasks if spec.kind is Kind.GANG else 1,
+                    task.job.ref in within,
+                    loses_gang_start(task, now),
+                )
+            )
+        elif task.is_running_replica:
+            ran = now - (task.running_since if task.running_since is not None else now)
+            replicas.append(policy_snapshot.MovableReplica(task.job.ref, spec, zone_counts(task.job), ran, task.index))
+    return victims, replicas
--- a/winglift/controller/pacing.py
+++ b/winglift/controller/pacing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .. import constants as c
+from .. import constants
 
 
 def pause_s(took: float) -> float:
@@ -10,9 +10,11 @@
 
     At 970 machines a cycle each 0.15 s was half of the leader's work, and most of them found little to do.
     """
-    return max(c.CYCLE_S, min(took * c.CYCLE_PAUSE, c.CYCLE_PAUSE_S), took * c.CYCLE_PAUSE_LEAST)
+    return max(
+        constants.CYCLE_S, min(took * constants.CYCLE_PAUSE, constants.CYCLE_PAUSE_S), took * constants.CYCLE_PAUSE_MIN
+    )
 
 
 def rest_s(took: float) -> float:
     """How long after it the next one begins unless somebody is in a hurry."""
-    return max(pause_s(took), min(took * c.CYCLE_REST, c.CYCLE_REST_S))
+    return max(pause_s(took), min(took * constants.CYCLE_REST, constants.CYCLE_REST_S))
--- a/winglift/controller/following.py
+++ b/winglift/controller/record_watcher.py
@@ -8,30 +8,30 @@
 
 import msgspec
 
-from .. import constants as c
+from .. import constants
 from ..model import records
-from ..model.job import JobState
-from ..model.picture import Picture
-from ..model.recorded import apply_record
-from ..net.outside import steady
-from ..store.client import Refused, StateClient, TooOld, Unknown
+from ..model.cluster_state import ClusterState
+from ..model.job_state import JobState
+from ..model.record_application import apply_record
+from ..net.runtime import monotonic_time
+from ..store.client import OutcomeUnknown, RequestRejected, RevisionCompacted, StateClient
 from ..wire.users import Submission
 
 log = logging.getLogger(__name__)
 
 
-class Following:
+class RecordWatcher:
     """`on_new` hears of each open job once; `wake` is called when something has changed."""
 
     def __init__(
         self,
         state: StateClient,
-        picture: Picture,
+        cluster: ClusterState,
         on_new: Callable[[float, Submission], None],
         wake: Callable[[], None],
     ) -> None:
         self.state = state
-        self.picture = picture
+        self.cluster = cluster
         self.loaded = False  # all records are known
         self._on_new = on_new
         self._wake = wake
@@ -42,69 +42,69 @@
         """Load all records, then follow their changes. The picture is rebuilt before anything is placed."""
         while True:
             try:
-                sent = steady()
-                items, revision = await self.state.list(records.JOB)
-                now = steady()
+                sent = monotonic_time()
+                items, revision = await self.state.list(records.JOB_PREFIX)
+                now = monotonic_time()
                 for item in items:
                     self._take_record(item.key, item.version, item.value, now)
                 self._revision = revision
-                self.picture.watched_at = sent
+                self.cluster.records_current_at = sent
                 if not self.loaded:
                     log.info(
                         "term %d: %d records, %d jobs open, %d machines named",
-                        self.picture.term,
+                        self.cluster.term,
                         len(items),
-                        sum(j.is_open for j in self.picture.jobs.values()),
-                        len(self.picture.machines),
+                        sum(j.is_open for j in self.cluster.jobs.values()),
+                        len(self.cluster.machines),
                     )
                 self.loaded = True
-                self.picture.changed = True
+                self.cluster.changed = True
                 await self._watch()
-            except TooOld:
+            except RevisionCompacted:
                 log.info("the watch fell behind; reading all records again")
-            except (Refused, Unknown) as err:
+            except (RequestRejected, OutcomeUnknown) as err:
                 log.debug("records: %s", err)
                 await asyncio.sleep(0.5)
 
     async def _watch(self) -> None:
         while True:
-            sent = steady()
+            sent = monotonic_time()
             try:
-                changes = await self.state.changes(records.JOB, self._revision)
-            except (Refused, Unknown) as err:
+                changes = await self.state.changes(records.JOB_PREFIX, self._revision)
+            except (RequestRejected, OutcomeUnknown) as err:
                 log.debug("watch: %s", err)
                 await asyncio.sleep(0.3)
                 continue
-            now = steady()
+            now = monotonic_time()
             for event in changes.events:
                 if event.put is not None:
                     self._take_record(event.put, event.version, event.value, now)
             self._revision = max(self._revision, changes.revision)
-            self.picture.watched_at = sent
+            self.cluster.records_current_at = sent
             if changes.events:
                 self._wake()
-            await asyncio.sleep(c.WATCH_PAUSE_S)
+            await asyncio.sleep(constants.WATCH_PAUSE_S)
 
     def _take_record(self, key: str, version: int, value: msgspec.Raw, now: float) -> None:
-        ref = key[len(records.JOB) :]
+        ref = key[len(records.JOB_PREFIX) :]
         try:
-            self.take_job(ref, version, records.decode(value), now)
-        except records.BadRecord as err:
+            self.apply_record(ref, version, records.decode(value), now)
+        except records.InvalidRecord as err:
             log.error("record of %s is left alone: %s", ref, err)
 
-    def take_job(self, ref: str, version: int, record: records.JobRecord, now: float) -> None:
+    def apply_record(self, ref: str, version: int, record: records.JobRecord, now: float) -> None:
         """A record that this node or another has committed."""
-        job = self.picture.jobs.get(ref)
-        if job is not None and job.writing and record.state != JobState.CANCELLED.value:
+        job = self.cluster.jobs.get(ref)
+        if job is not None and job.write_in_flight and record.state != JobState.CANCELLED.value:
             # Perhaps our own write, whose answer is still under way: it is compared once that is here. A cancellation
             # is not put off: it is final whatever becomes of the write, which an outage may leave without an answer.
-            if version > job.version and (job.pending is None or version > job.pending[0]):
-                job.pending = (version, records.encode(record))
-                if job.open_before is None:
-                    job.open_before = self.picture.watched_at
+            if version > job.version and (job.deferred_change is None or version > job.deferred_change[0]):
+                job.deferred_change = (version, records.encode(record))
+                if job.known_open_before_write is None:
+                    job.known_open_before_write = self.cluster.records_current_at
             return
         if job is None and ref not in self._seen_refs and record.state == JobState.OPEN.value:
             self._seen_refs.add(ref)
-            self._on_new(record.submitted, record.spec)
-        apply_record(self.picture, ref, version, record, now)
+            self._on_new(record.submitted_at, record.spec)
+        apply_record(self.cluster, ref, version, record, now)
         self._wake()
--- a/winglift/cwl/convert.py
+++ b/winglift/cwl/convert.py
@@ -9,7 +9,7 @@
 from cwl_utils.parser import load_document_by_uri
 from schema_salad.exceptions import SchemaSaladException
 
-from ..wire import flows as wire
+from ..wire import flows as flow_messages
 from .errors import CwlError, Place, Unsupported, said
 from .needs import Needs, image, initial, own_hints, resources, time_limit, variables
 from .order import Resolver
@@ -18,30 +18,32 @@
 
 class Converter:
     def __init__(self, file: str, place: Place, resolver: Resolver) -> None:
-        self.processes: dict[str, wire.Process] = {}
+        self.processes: dict[str, flow_messages.Process] = {}
         self.sources: dict[str, str] = {}  # process: the file in which it stands
         self._scripts: set[str] = set()  # workflows of which a step asks for JavaScript
         self._place = place
         self._resolver = resolver
         self._main = file
 
-    def plan(self, document: Any) -> wire.Plan:
+    def plan(self, document: Any) -> flow_messages.Plan:
         """The whole; a lone tool becomes a workflow of one step."""
         self.process(document, "main", Needs(), self._main)
         main = self.processes["main"]
-        if not isinstance(main, wire.Workflow):
+        if not isinstance(main, flow_messages.Workflow):
             self.processes = {"tool": main}
             self.sources["tool"] = self.sources.pop("main")
             names = [p.name for p in main.inputs]
-            self.processes["main"] = wire.Workflow(
-                inputs=[wire.Param(p.name, p.type, p.default) for p in main.inputs],
-                outputs=[wire.FlowOutput(o.name, o.type, [f"run/{o.name}"]) for o in main.outputs],
+            self.processes["main"] = flow_messages.Workflow(
+                inputs=[flow_messages.Param(p.name, p.type, p.default) for p in main.inputs],
+                outputs=[flow_messages.FlowOutput(o.name, o.type, [f"run/{o.name}"]) for o in main.outputs],
                 steps=[
-                    wire.Step("run", "tool", [wire.StepInput(n, [n]) for n in names], [o.name for o in main.outputs])
+                    flow_messages.Step(
+                        "run", "tool", [flow_messages.StepInput(n, [n]) for n in names], [o.name for o in main.outputs]
+                    )
                 ],
             )
             self.sources["main"] = self._main
-        return wire.Plan("main", self.processes)
+        return flow_messages.Plan("main", self.processes)
 
     def process(self, document: Any, key: str, needs: Needs, file: str) -> None:
         if not is_cwl(document):
@@ -57,9 +59,9 @@
         if isinstance(document, cwl.CommandLineTool):
             self.processes[key] = self._tool(document, inside, place, file)
         elif isinstance(document, cwl.ExpressionTool):
-            self.processes[key] = wire.Expression(
+            self.processes[key] = flow_messages.Expression(
                 [self._param(p, place, file) for p in document.inputs],
-                [wire.Output(short(o.id), kind(o.type_, place(short(o.id)))) for o in document.outputs],
+                [flow_messages.Output(short(o.id), kind(o.type_, place(short(o.id)))) for o in document.outputs],
                 document.expression,
                 inside.javascript,
                 inside.library,
@@ -67,7 +69,7 @@
         else:
             self.processes[key] = self._workflow(document, key, inside, place, file)
 
-    def _param(self, param: Any, place: Any, file: str) -> wire.Param:
+    def _param(self, param: Any, place: Any, file: str) -> flow_messages.Param:
         name = short(param.id)
         where = place("inputs", name)
         refuse(param, (*LEFT, "loadListing"), place, "inputs", name)
@@ -77,11 +79,11 @@
         load = bool(getattr(param, "loadContents", None) or getattr(shown, "loadContents", None))
         default = None if param.default is None else self._resolver.value(plain(param.default), file, where)
         made = binding(shown, where)
-        return wire.Param(name, kind(found, where), default, made, items, fields, load)
+        return flow_messages.Param(name, kind(found, where), default, made, items, fields, load)
 
     # -- tools ---------------------------------------------------------------------------------
 
-    def _tool(self, tool: Any, needs: Needs, place: Any, file: str) -> wire.Tool:
+    def _tool(self, tool: Any, needs: Needs, place: Any, file: str) -> flow_messages.Tool:
         refuse(tool, ("temporaryFailCodes", "permanentFailCodes"), place)
         hints, gpus = own_hints(tool, place)
         stdin = tool.stdin
@@ -96,13 +98,13 @@
             refuse(out, LEFT, place, "outputs", name)
             if isinstance(out.type_, str) and out.type_ in streams:
                 streams[out.type_] = streams[out.type_] or f"{name}.{out.type_}"
-                outputs.append(wire.Output(name, "File", [streams[out.type_]]))
+                outputs.append(flow_messages.Output(name, "File", [streams[out.type_]]))
                 continue
             shown = out.outputBinding
             globs = [] if shown is None or shown.glob is None else shown.glob
             refuse(shown, ("loadListing",), place, "outputs", name)
             outputs.append(
-                wire.Output(
+                flow_messages.Output(
                     name,
                     kind(out.type_, where),
                     [globs] if isinstance(globs, str) else list(globs),
@@ -112,10 +114,10 @@
             )
         base = tool.baseCommand or []
         arguments = [
-            wire.Binding(value_from=a) if isinstance(a, str) else binding(a, place("arguments"))
+            flow_messages.Binding(value_from=a) if isinstance(a, str) else binding(a, place("arguments"))
             for a in tool.arguments or []
         ]
-        return wire.Tool(
+        return flow_messages.Tool(
             inputs=[self._param(p, place, file) for p in tool.inputs],
             outputs=outputs,
             base=[base] if isinstance(base, str) else list(base),
@@ -137,7 +139,7 @@
 
     # -- workflows -----------------------------------------------------------------------------
 
-    def _workflow(self, flow: Any, key: str, needs: Needs, place: Any, file: str) -> wire.Workflow:
+    def _workflow(self, flow: Any, key: str, needs: Needs, place: Any, file: str) -> flow_messages.Workflow:
         hints, _ = own_hints(flow, place)
         steps = []
         for step in flow.steps:
@@ -149,7 +151,7 @@
             refuse(out, LEFT, place, "outputs", name)
             source = links(out.outputSource, flow.id)
             outputs.append(
-                wire.FlowOutput(
+                flow_messages.FlowOutput(
                     name,
                     kind(out.type_, place("outputs", name)),
                     source,
@@ -162,7 +164,7 @@
         for step in steps:
             for sink in step.inputs:
                 check_links(sink.source, known, place("steps", step.name, sink.name), f"{step.name}/{sink.name}")
-        return wire.Workflow(
+        return flow_messages.Workflow(
             [self._param(p, place, file) for p in flow.inputs],
             outputs,
             steps,
@@ -171,7 +173,7 @@
             hints,
         )
 
-    def _step(self, flow: Any, step: Any, key: str, needs: Needs, place: Any, file: str) -> wire.Step:
+    def _step(self, flow: Any, step: Any, key: str, needs: Needs, place: Any, file: str) -> flow_messages.Step:
         name = short(step.id)
 
         def here(*tokens: str) -> str:
@@ -193,7 +195,7 @@
             refuse(sink, ("loadListing",), here)
             default = None if sink.default is None else self._resolver.value(plain(sink.default), file, here())
             inputs.append(
-                wire.StepInput(
+                flow_messages.StepInput(
                     short(sink.id),
                     links(sink.source, flow.id),
                     isinstance(sink.source, list),
@@ -218,7 +220,9 @@
         for out in outs:
             if out not in produced:
                 raise CwlError(f"{here('out', out)}: {name} has no output {out}")
-        return wire.Step(name, target, inputs, outs, scattered, step.scatterMethod or "dotproduct", step.when, hints)
+        return flow_messages.Step(
+            name, target, inputs, outs, scattered, step.scatterMethod or "dotproduct", step.when, hints
+        )
 
 
 def optional(found: Any) -> bool:
--- a/winglift/duties/duty.py
+++ b/winglift/duties/duty.py
@@ -11,54 +11,56 @@
 from enum import Enum, auto
 
 from ..model.leadership import Leadership, Role
-from ..model.records import LEADER
+from ..model.records import LEADER_KEY
 from ..wire.state import Condition
 
 log = logging.getLogger(__name__)
 
 
-class Name(Enum):
+class DutyName(Enum):
     """What only one controller may do."""
 
-    PLACE = "placing"  # starts, stops, moves: reclaiming room from lost machines and from borrowed work is part of it
-    CLOUD = "renting and returning"
-    TIDY = "clean-up"
+    PLACEMENT = (
+        "placing"  # starts, stops, moves: reclaiming room from lost machines and from borrowed work is part of it
+    )
+    CLOUD_OPERATIONS = "renting and returning"
+    GARBAGE_COLLECTION = "clean-up"
 
 
-class State(Enum):
+class DutyState(Enum):
     """How far this node is with a duty."""
 
-    SOUGHT = auto()  # the lease is held; what the holder before had begun is not known yet
+    ACQUIRING = auto()  # the lease is held; what the holder before had begun is not known yet
     HELD = auto()
     IN_DOUBT = auto()  # the lease may have ended by this node's clock: nothing leaves it
     LOST = auto()  # another node holds the fence, or the lease has ended
-    GIVEN_UP = auto()  # this node has ended its work by itself
+    RELINQUISHED = auto()  # this node has ended its work by itself
 
 
-class Event(Enum):
+class DutyEvent(Enum):
     """What moves a duty."""
 
-    KNOW = auto()  # what the holder before had begun has been read and taken over
+    READY = auto()  # what the holder before had begun has been read and taken over
     OVERDUE = auto()
     RENEW = auto()
     LOSE = auto()
-    GIVE_UP = auto()
+    RELINQUISH = auto()
 
 
-_S, _E = State, Event
-TRANSITIONS: dict[tuple[State, Event], State] = {
-    (_S.SOUGHT, _E.KNOW): _S.HELD,
-    (_S.HELD, _E.KNOW): _S.HELD,
+_S, _E = DutyState, DutyEvent
+TRANSITIONS: dict[tuple[DutyState, DutyEvent], DutyState] = {
+    (_S.ACQUIRING, _E.READY): _S.HELD,
+    (_S.HELD, _E.READY): _S.HELD,
     (_S.HELD, _E.OVERDUE): _S.IN_DOUBT,
     (_S.IN_DOUBT, _E.OVERDUE): _S.IN_DOUBT,
     (_S.IN_DOUBT, _E.RENEW): _S.HELD,
     (_S.HELD, _E.RENEW): _S.HELD,
-    (_S.SOUGHT, _E.RENEW): _S.SOUGHT,
-    (_S.SOUGHT, _E.OVERDUE): _S.SOUGHT,
+    (_S.ACQUIRING, _E.RENEW): _S.ACQUIRING,
+    (_S.ACQUIRING, _E.OVERDUE): _S.ACQUIRING,
 }
-for _state in (_S.SOUGHT, _S.HELD, _S.IN_DOUBT):
+for _state in (_S.ACQUIRING, _S.HELD, _S.IN_DOUBT):
     TRANSITIONS[_state, _E.LOSE] = _S.LOST
-    TRANSITIONS[_state, _E.GIVE_UP] = _S.GIVEN_UP
+    TRANSITIONS[_state, _E.RELINQUISH] = _S.RELINQUISHED
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,18 +72,18 @@
 
     def condition(self) -> Condition:
         """Stands in every transaction of a duty (invariant 1): it fails from the moment another node holds the key."""
-        return Condition(LEADER, self.revision)
+        return Condition(LEADER_KEY, self.revision)
 
 
 @dataclass(eq=False)
 class Duty:
     """One duty of the holder, as a state machine."""
 
-    name: Name
+    name: DutyName
     fence: Fence
-    state: State = State.SOUGHT
+    state: DutyState = DutyState.ACQUIRING
 
-    def move(self, event: Event) -> State:
+    def move(self, event: DutyEvent) -> DutyState:
         """The one place where a duty changes its state. What does not apply changes nothing: an end is for good."""
         new = TRANSITIONS.get((self.state, event), self.state)
         if new is not self.state:
@@ -94,39 +96,41 @@
 class Duties:
     """All duties of one term, and the lease that they are held by."""
 
-    me: Leadership
+    leadership: Leadership
     fence: Fence = field(init=False)
-    _all: dict[Name, Duty] = field(init=False)
+    _all: dict[DutyName, Duty] = field(init=False)
 
     def __post_init__(self) -> None:
-        self.fence = Fence(self.me.term, self.me.revision)
-        self._all = {name: Duty(name, self.fence) for name in Name}
+        self.fence = Fence(self.leadership.term, self.leadership.revision)
+        self._all = {name: Duty(name, self.fence) for name in DutyName}
 
-    def __getitem__(self, name: Name) -> Duty:
+    def __getitem__(self, name: DutyName) -> Duty:
         return self._all[name]
 
-    def know(self, name: Name) -> None:
+    def mark_ready(self, name: DutyName) -> None:
         """What must be known for a duty is known."""
-        self._all[name].move(Event.KNOW)
-        self.follow()
+        self._all[name].move(DutyEvent.READY)
+        self.sync_with_lease()
 
-    def follow(self) -> None:
+    def sync_with_lease(self) -> None:
         """Take over what has become of the lease."""
-        lead = self.me.role is Role.LEADER and self.me.term == self.fence.term
-        doubt = self.me.role is Role.DOUBTFUL and self.me.term == self.fence.term
+        lead = self.leadership.role is Role.LEADER and self.leadership.term == self.fence.term
+        doubt = self.leadership.role is Role.DOUBTFUL and self.leadership.term == self.fence.term
         for duty in self._all.values():
-            duty.move(Event.RENEW if lead else Event.OVERDUE if doubt else Event.LOSE)
+            duty.move(DutyEvent.RENEW if lead else DutyEvent.OVERDUE if doubt else DutyEvent.LOSE)
 
-    def give_up(self) -> None:
+    def relinquish(self) -> None:
         """No duty may be carried out any more in this term."""
         for duty in self._all.values():
-            duty.move(Event.GIVE_UP)
+            duty.move(DutyEvent.RELINQUISH)
 
-    def may(self, name: Name, now: float) -> bool:
+    def may_act(self, name: DutyName, now: float) -> bool:
         """May this be decided and sent at this moment? Asked after every wait, with the clock read anew.
 
         `entitled` counts the lease from when its renewal was sent, by a clock that may be slow (CLOCK_DRIFT), and ends
         it LEADER_MARGIN_S early, for what lies between this question and the sending.
         """
         duty = self._all[name]
-        return duty.state is State.HELD and self.me.term == self.fence.term and self.me.entitled(now)
+        return (
+            duty.state is DutyState.HELD and self.leadership.term == self.fence.term and self.leadership.entitled(now)
+        )
--- a/winglift/duties/effect.py
+++ b/winglift/duties/external_operation.py
@@ -13,7 +13,7 @@
 from ..wire.cloud import Rent
 
 
-class State(Enum):
+class OperationState(Enum):
     """How far an effect on the cloud is."""
 
     INTENDED = auto()  # decided, known to this node alone
@@ -23,7 +23,7 @@
     ABANDONED = auto()  # certainly not done: refused, or withdrawn before it was recorded
 
 
-class Event(Enum):
+class OperationEvent(Enum):
     """What moves an effect."""
 
     RECORD = auto()
@@ -34,12 +34,12 @@
     WITHDRAW = auto()
 
 
-class WrongEvent(Exception):
+class InvalidOperationTransition(Exception):
     """An event that the state does not allow."""
 
 
-_S, _E = State, Event
-TRANSITIONS: dict[tuple[State, Event], State] = {
+_S, _E = OperationState, OperationEvent
+TRANSITIONS: dict[tuple[OperationState, OperationEvent], OperationState] = {
     (_S.INTENDED, _E.RECORD): _S.RECORDED,
     (_S.INTENDED, _E.WITHDRAW): _S.ABANDONED,
     (_S.INTENDED, _E.SEND_UNRECORDED): _S.SENT,
@@ -58,23 +58,23 @@
 
 
 @dataclass(slots=True, eq=False)
-class Effect:
+class ExternalOperation:
     """A rental under a name that is never used again, or the deletion of one machine."""
 
     name: str  # of the rental, or of the machine to be deleted
-    at: float  # steady time of its intent, as well as it is known
+    intended_at: float  # steady time of its intent, as well as it is known
     request: Rent | None = None  # what is rented; None: a deletion
-    state: State = State.INTENDED
+    state: OperationState = OperationState.INTENDED
     machines: tuple[str, ...] = ()  # what a rental has brought
     ended_at: float = math.inf
-    taken_over: bool = False  # an earlier holder intended it
+    inherited: bool = False  # an earlier holder intended it
 
-    def move(self, event: Event, now: float) -> State:
+    def move(self, event: OperationEvent, now: float) -> OperationState:
         """The one place where an effect changes its state."""
         try:
             self.state = TRANSITIONS[self.state, event]
         except KeyError:
-            raise WrongEvent(f"{event.name} in {self.state.name} of {self.name}") from None
+            raise InvalidOperationTransition(f"{event.name} in {self.state.name} of {self.name}") from None
         if self.state not in OPEN and self.ended_at == math.inf:
             self.ended_at = now
         return self.state
--- a/winglift/duties/tidy.py
+++ b/winglift/duties/garbage_collection.py
@@ -12,14 +12,14 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from .. import constants as c
+from .. import constants
 from ..config.settings import State as Limits
-from ..model import imagebook
-from ..model.picture import Picture
-from ..net.outside import steady
-from ..store.client import Health, LeaseGone, Refused, StateClient, Unknown
-from ..wire import state as wire
-from .duty import Duties, Name
+from ..model import image_cache_record
+from ..model.cluster_state import ClusterState
+from ..net.runtime import monotonic_time
+from ..store.client import Health, LeaseExpired, OutcomeUnknown, RequestRejected, StateClient
+from ..wire import state as state_messages
+from .duty import Duties, DutyName
 
 log = logging.getLogger(__name__)
 
@@ -30,16 +30,18 @@
 
     what: str
     keys: tuple[tuple[str, int], ...]
-    puts: tuple[tuple[wire.Put, int], ...] = ()  # and the revision that its key must have
+    puts: tuple[tuple[state_messages.Put, int], ...] = ()  # and the revision that its key must have
 
-    def transaction(self, fence: wire.Condition) -> wire.Transaction:
+    def transaction(self, fence: state_messages.Condition) -> state_messages.Transaction:
         """The transaction that removes it, fenced."""
         conditions = [
             fence,
-            *(wire.Condition(key, version) for key, version in self.keys),
-            *(wire.Condition(put.key, version) for put, version in self.puts),
+            *(state_messages.Condition(key, version) for key, version in self.keys),
+            *(state_messages.Condition(put.key, version) for put, version in self.puts),
         ]
-        return wire.Transaction(conditions, [*(wire.Drop(key) for key, _ in self.keys), *(p for p, _ in self.puts)])
+        return state_messages.Transaction(
+            conditions, [*(state_messages.Drop(key) for key, _ in self.keys), *(p for p, _ in self.puts)]
+        )
 
 
 class Sweeper(Protocol):
@@ -50,7 +52,7 @@
         ...
 
 
-class Tidy:
+class GarbageCollector:
     """Garbage collection of stored state, a little at a time, with what the budget leaves."""
 
     def __init__(self, state: StateClient, limits: Limits, duties: Duties) -> None:
@@ -59,48 +61,50 @@
         self.sweepers: list[Sweeper] = []
         self._limits = limits
 
-    def _spare(self) -> bool:
+    def _has_spare_budget(self) -> bool:
         """Is there budget that neither starts nor ends nor users need?"""
         return (
-            self.duties.may(Name.TIDY, steady())
+            self.duties.may_act(DutyName.GARBAGE_COLLECTION, monotonic_time())
             and self.state.health() is Health.GOOD
-            and self.state.writes_free() >= self._limits.write_rps * c.TIDY_WRITES_KEPT
+            and self.state.writes_free() >= self._limits.write_rps * constants.GC_WRITES_KEPT
         )
 
     async def run(self) -> None:
-        """Look for garbage every TIDY_EVERY_S while this node holds the duty."""
+        """Look for garbage every GC_INTERVAL_S while this node holds the duty."""
         while True:
-            await asyncio.sleep(c.TIDY_EVERY_S)
+            await asyncio.sleep(constants.GC_INTERVAL_S)
             for sweeper in self.sweepers:
-                if self._spare():
+                if self._has_spare_budget():
                     await self._sweep(sweeper)
 
     async def _sweep(self, sweeper: Sweeper) -> None:
         try:
             for removal in await sweeper.find(max(1, self._limits.txn_ops - 1)):
-                while not self._spare():
-                    if not self.duties.may(Name.TIDY, steady()):
+                while not self._has_spare_budget():
+                    if not self.duties.may_act(DutyName.GARBAGE_COLLECTION, monotonic_time()):
                         return
-                    await asyncio.sleep(c.WRITE_AGAIN_S)
+                    await asyncio.sleep(constants.WRITE_AGAIN_S)
                 # On the leadership key at its revision, as every write of a duty (invariant 1).
                 done = await self.state.commit(removal.transaction(self.duties.fence.condition()))
-                if isinstance(done, wire.Committed):
+                if isinstance(done, state_messages.Committed):
                     log.debug("clean-up: %s, %d keys removed", removal.what, len(removal.keys))
-        except (Refused, Unknown, LeaseGone) as err:
+        except (RequestRejected, OutcomeUnknown, LeaseExpired) as err:
             log.debug("clean-up: %s; it goes on at the next look", err)
 
 
-class Images:
+class ImageCacheSweeper:
     """Pages of images that name no machine there is."""
 
-    def __init__(self, state: StateClient, picture: Picture) -> None:
+    def __init__(self, state: StateClient, cluster: ClusterState) -> None:
         self.state = state
-        self.picture = picture
+        self.cluster = cluster
 
     async def find(self, most: int) -> list[Removal]:
         """Pages of images that no longer mean anything."""
-        items, _ = await self.state.list(imagebook.PREFIX)
+        items, _ = await self.state.list(image_cache_record.PREFIX)
         stale = [
-            item for item in items if not any(name in self.picture.machines for name in imagebook.unpack([item.value]))
+            item
+            for item in items
+            if not any(name in self.cluster.machines for name in image_cache_record.unpack([item.value]))
         ]
         return [Removal("images of machines that are gone", ((item.key, item.version),)) for item in stale[:most]]
--- /dev/null
+++ b/winglift/duties/intent_log.py
@@ -0,0 +1,284 @@
+"""The book of duties: what the holder intends to do to the cloud, committed under its fence before anything is sent.
+
+One value of the state service. Every write of it is conditional on the leadership key and on the book's own revision,
+so a replaced holder records nothing more, and sends nothing that is not recorded. Effects that come together share a
+write; an effect's end rides in the next one.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable, Iterable
+
+import msgspec
+
+from .. import constants
+from ..config.settings import State as Limits
+from ..model.records import LEADER_KEY, InvalidRecord
+from ..net.runtime import monotonic_time, wall_time
+from ..store.client import Health, InvalidRequest, LeaseExpired, OutcomeUnknown, RequestRejected, StateClient
+from ..wire import state as state_messages
+from ..wire.cloud import Rent
+from . import intent_record
+from .duty import Fence
+from .external_operation import ExternalOperation, OperationEvent, OperationState
+
+log = logging.getLogger(__name__)
+
+
+class FenceLost(Exception):
+    """Another node holds the leadership key: nothing can be recorded any more."""
+
+
+class IntentLog:
+    """The intent log: what is under way at the cloud, committed before it is sent."""
+
+    def __init__(self, state: StateClient, limits: Limits, fence: Fence, list_lag_s: float) -> None:
+        self.state = state
+        self.fence = fence
+        self.fence_lost = False  # the leadership key has another revision
+        self.loaded = False
+        self.inherited = intent_record.IntentRecord(0.0, 0)  # as an earlier holder left it
+        self.rentals: dict[str, ExternalOperation] = {}
+        self.deletions: dict[str, ExternalOperation] = {}
+        self.add_failover_hints: Callable[[intent_record.IntentRecord], None] = lambda record: (
+            None
+        )  # fills in the moments worth knowing
+        self._limits = limits
+        self._most_bytes = int(limits.value_kb * 1024) - constants.RECORD_SPARE_BYTES
+        # Lists are up to twice their lag old: what ended longer ago is in every list that is asked for from now on.
+        self._keep_s = 2 * list_lag_s + constants.INTENT_LOG_KEEP_MARGIN_S
+        self._version = 0
+        self._base = wall_time()
+        self._written = b""
+        self._written_at = 0.0
+        self._write_requested = asyncio.Event()
+        self._write_finished = asyncio.Condition()
+        self._awaiting_commit: set[ExternalOperation] = set()  # wait to be recorded
+
+    # -- reading -------------------------------------------------------------------------------
+
+    async def load(self) -> None:
+        """Read what earlier holders intended; until this is known, nothing is placed and nothing is sent."""
+        while not self.loaded:
+            try:
+                item = await self.state.get(intent_record.INTENT_LOG_KEY, urgent=True)
+            except (RequestRejected, OutcomeUnknown) as err:
+                log.debug("book of duties: %s", err)
+                await asyncio.sleep(constants.INTENT_LOG_RETRY_S)
+                continue
+            self._version = item.version if item is not None else 0
+            if item is not None:
+                try:
+                    self._inherit(intent_record.decode(item.value))
+                except InvalidRecord as err:
+                    # Not written by this program. What it may have said is learnt from the list, as before the book.
+                    log.error("%s", err)
+            self.loaded = True
+
+    def _inherit(self, record: intent_record.IntentRecord) -> None:
+        now, today = monotonic_time(), wall_time()
+        for name in intent_record.unpack_names(record.deletions):
+            # What this holder has decided meanwhile, an earlier one has recorded already.
+            operation = self.deletions.setdefault(name, ExternalOperation(name, now, inherited=True))
+            operation.move(OperationEvent.RECORD, now)
+        for note in record.rentals:
+            if not (0 <= note.type < len(record.types) and 0 <= note.zone < len(record.zones)):
+                raise InvalidRecord(f"the book of duties: rental {note.name} names no type or zone")
+            request = Rent(note.name, record.types[note.type], record.zones[note.zone], bool(note.spot), note.count)
+            operation = ExternalOperation(
+                note.name, now - max(0.0, today - record.base_time - note.at_s), request, inherited=True
+            )
+            operation.move(OperationEvent.RECORD, now)
+            if note.machines is not None:
+                operation.machines = tuple(intent_record.unpack_names(note.machines))
+                operation.move(OperationEvent.SEND, now)
+                operation.move(OperationEvent.ANSWER, now)
+            self.rentals[note.name] = operation
+        self.inherited = record
+
+    # -- writing -------------------------------------------------------------------------------
+
+    def intend(self, operation: ExternalOperation) -> ExternalOperation:
+        """Take an effect in, without recording it yet. The same machine's deletion is intended once."""
+        intent_log = self.rentals if operation.request is not None else self.deletions
+        return intent_log.setdefault(operation.name, operation)
+
+    async def persist(self, operations: Iterable[ExternalOperation]) -> None:
+        """Return once all of these are committed under the fence; raises FenceLost if they never will be."""
+        waiting = {e for e in operations if e.state is OperationState.INTENDED}
+        self._awaiting_commit |= waiting
+        self._write_requested.set()
+        async with self._write_finished:
+            while any(e.state is OperationState.INTENDED for e in waiting):
+                if self.fence_lost:
+                    raise FenceLost
+                await self._write_finished.wait()
+
+    def complete(self, operation: ExternalOperation, now: float) -> None:
+        """Answered. Its end is written with what comes next, or a little later by itself."""
+        operation.move(OperationEvent.ANSWER, now)
+        self._write_requested.set()
+
+    def abandon(self, operation: ExternalOperation, now: float) -> None:
+        """Certainly not done."""
+        operation.move(
+            OperationEvent.REFUSE if operation.state is OperationState.SENT else OperationEvent.WITHDRAW, now
+        )
+        self._awaiting_commit.discard(operation)
+        self._write_requested.set()
+
+    async def run(self) -> None:
+        """Write whenever something waits for it; what only ended, and the moments, when the budget leaves it over."""
+        while not self.fence_lost:
+            try:
+                async with asyncio.timeout(constants.INTENT_LOG_POLL_S):
+                    await self._write_requested.wait()
+            except TimeoutError:
+                pass
+            self._write_requested.clear()
+            if not self.loaded:
+                continue
+            if self._awaiting_commit:
+                await self._write(hurried=True)
+            elif (
+                monotonic_time() - self._written_at >= constants.INTENT_LOG_WRITE_INTERVAL_S
+                and self.state.health() is Health.GOOD
+                and self.state.writes_free() >= self._limits.write_rps * constants.START_WRITES_KEPT
+            ):
+                await self._write(hurried=False)
+
+    async def _write(self, hurried: bool) -> None:
+        held = self._operations_to_keep()
+        value = self._encode_record(held)
+        if not hurried and value == self._written:
+            return
+        # Every write of a duty is conditional on the leadership key at its revision (invariant 1), and on the book's
+        # own: a write of ours that is applied late fails, and is not taken for the newer one.
+        txn = state_messages.Transaction(
+            [self.fence.condition(), state_messages.Condition(intent_record.INTENT_LOG_KEY, self._version)],
+            [state_messages.Put(intent_record.INTENT_LOG_KEY, msgspec.Raw(value))],
+        )
+        try:
+            result = await self.state.commit(txn, max_wait=constants.INTENT_LOG_WAIT_S)
+        except (RequestRejected, LeaseExpired) as err:
+            log.log(logging.WARNING if isinstance(err, InvalidRequest) else logging.DEBUG, "book of duties: %s", err)
+            await self._retry_later()
+            return
+        except OutcomeUnknown as err:
+            log.info("book of duties: write without an answer, reading again: %s", err)
+            await self._reread(value, held)
+            return
+        if isinstance(result, state_messages.Committed):
+            await self._committed(result.revision, value, held)
+        elif LEADER_KEY in result.failed:
+            await self._fence_lost()
+        else:
+            await self._reread(value, held)
+
+    async def _reread(self, value: bytes, held: list[ExternalOperation]) -> None:
+        """Was it applied? Only holders of the fence write the book, so its version tells."""
+        try:
+            item = await self.state.get(intent_record.INTENT_LOG_KEY, urgent=True)
+        except (RequestRejected, OutcomeUnknown):
+            await self._retry_later()
+            return
+        if item is not None and bytes(item.value) == value:
+            await self._committed(item.version, value, held)
+            return
+        self._version = item.version if item is not None else 0
+        await self._retry_later()
+
+    async def _committed(self, version: int, value: bytes, held: list[ExternalOperation]) -> None:
+        now = monotonic_time()
+        self._version, self._written, self._written_at = version, value, now
+        recorded = any(e.state is OperationState.INTENDED for e in held)
+        for operation in held:
+            operation.move(OperationEvent.RECORD, now)
+        self._awaiting_commit = {e for e in self._awaiting_commit if e.state is OperationState.INTENDED}
+        kept = {e.name for e in held}
+        for intent_log in (self.rentals, self.deletions):
+            for name in [n for n, e in intent_log.items() if not e.is_open and n not in kept]:
+                del intent_log[name]
+        async with self._write_finished:
+            self._write_finished.notify_all()
+        if self._awaiting_commit and recorded:
+            self._write_requested.set()
+        elif self._awaiting_commit:
+            # The book is full. What waits comes in once something has ended; each try costs a change.
+            await self._retry_later()
+
+    async def _retry_later(self) -> None:
+        await asyncio.sleep(constants.INTENT_LOG_RETRY_S)
+        self._write_requested.set()
+
+    async def _fence_lost(self) -> None:
+        self.fence_lost = True
+        async with self._write_finished:
+            self._write_finished.notify_all()
+
+    # -- the page ------------------------------------------------------------------------------
+
+    def _operations_to_keep(self) -> list[ExternalOperation]:
+        """What the next page holds: all that is open, and what ended too lately for every list to show it."""
+        now = monotonic_time()
+        found = [
+            e
+            for intent_log in (self.deletions, self.rentals)
+            for e in intent_log.values()
+            if e.is_open or (e.state is OperationState.SETTLED and now - e.ended_at < self._keep_s)
+        ]
+        if self._fits(found):
+            return found
+        # What is recorded and open always fits, as it did when it was recorded. Then what waits, in the order of
+        # asking, then what has ended, the latest first.
+        kept = [e for e in found if e.is_open and e.state is not OperationState.INTENDED]
+        rest = sorted((e for e in found if e.state is OperationState.INTENDED), key=lambda e: e.intended_at)
+        rest += sorted((e for e in found if not e.is_open), key=lambda e: -e.ended_at)
+        low, high = 0, len(rest)
+        while low < high:
+            middle = (low + high + 1) // 2
+            if self._fits(kept + rest[:middle]):
+                low = middle
+            else:
+                high = middle - 1
+        return kept + rest[:low]
+
+    def _fits(self, operations: list[ExternalOperation]) -> bool:
+        return (
+            len(intent_record.encode(self._record_without_hints(operations)))
+            <= self._most_bytes - constants.FAILOVER_HINTS_BYTES
+        )
+
+    def _record_without_hints(self, operations: list[ExternalOperation]) -> intent_record.IntentRecord:
+        now, since = monotonic_time(), wall_time() - self._base
+        record = intent_record.IntentRecord(self._base, self.fence.term)
+        types: dict[str, int] = {}
+        zones: dict[str, int] = {}
+        for operation in operations:
+            request = operation.request
+            if request is None:
+                continue
+            record.rentals.append(
+                intent_record.RentalIntent(
+                    operation.name,
+                    types.setdefault(request.type, len(types)),
+                    zones.setdefault(request.zone, len(zones)),
+                    int(request.spot),
+                    request.count,
+                    round(since - (now - operation.intended_at)),
+                    intent_record.pack_names(operation.machines) if operation.state is OperationState.SETTLED else None,
+                )
+            )
+        record.types, record.zones = list(types), list(zones)
+        record.deletions = intent_record.pack_names(e.name for e in operations if e.request is None)
+        return record
+
+    def _encode_record(self, operations: list[ExternalOperation]) -> bytes:
+        record = self._record_without_hints(operations)
+        bare = intent_record.encode(record)
+        self.add_failover_hints(record)
+        noted = intent_record.encode(record)
+        # Moments are worth knowing, effects must be known: with too little room the moments are left out.
+        return noted if len(noted) <= self._most_bytes else bare
--- a/winglift/duties/page.py
+++ b/winglift/duties/intent_record.py
@@ -12,15 +12,15 @@
 
 import msgspec
 
-from ..model.records import BadRecord, pack_ranges, unpack_ranges
+from ..model.records import InvalidRecord, pack_ranges, unpack_ranges
 
-BOOK = "duty"  # the key of the book
-NAMES_MOST = 100_000  # machines in one range; more is not this program's writing
+INTENT_LOG_KEY = "duty"  # the key of the book
+MAX_NAMES_IN_RANGE = 100_000  # machines in one range; more is not this program's writing
 
 _NUMBERED = re.compile(r"(.*?)([0-9]{1,15})")
 
 
-class RentalNote(msgspec.Struct, frozen=True, array_like=True):
+class RentalIntent(msgspec.Struct, frozen=True, array_like=True):
     """A rental as the book holds it."""
 
     name: str
@@ -32,41 +32,41 @@
     machines: str | None = None  # what it brought, packed; None: no answer is known
 
 
-class Page(
+class IntentRecord(
     msgspec.Struct,
     omit_defaults=True,
     rename={
-        "base": "w",
+        "base_time": "w",
         "term": "t",
         "types": "y",
         "zones": "z",
         "rentals": "r",
         "deletions": "d",
-        "leaving": "l",
-        "refused": "x",
-        "next_move": "m",
-        "stopping": "s",
-        "kept": "k",
+        "draining": "l",
+        "capacity_refusals": "x",
+        "next_migration_at": "m",
+        "stopping_gangs": "s",
+        "reserved_for_gangs": "k",
         "failed_on": "f",
     },
 ):
     """All times are times of day. What is missing is not known, and begins anew."""
 
-    base: float  # since this holder began
+    base_time: float  # since this holder began
     term: int  # of the holder that wrote it
     types: list[str] = []
     zones: list[str] = []
-    rentals: list[RentalNote] = []
+    rentals: list[RentalIntent] = []
     deletions: str = ""  # machines that some term has intended to delete, packed
-    leaving: dict[str, str] = {}  # machine being emptied: why
-    refused: list[tuple[str, str, bool, float]] = []  # type, zone, spot, until
-    next_move: float = 0.0
-    stopping: dict[str, int] = {}  # gang told to stop, of which parts may not have heard it: the attempt
-    kept: dict[str, tuple[float, str]] = {}  # gang: since when room is being made for it, and where
+    draining: dict[str, str] = {}  # machine being emptied: why
+    capacity_refusals: list[tuple[str, str, bool, float]] = []  # type, zone, spot, until
+    next_migration_at: float = 0.0
+    stopping_gangs: dict[str, int] = {}  # gang told to stop, of which parts may not have heard it: the attempt
+    reserved_for_gangs: dict[str, tuple[float, str]] = {}  # gang: since when room is being made for it, and where
     failed_on: dict[str, list[str]] = {}  # job that looks mistaken: machines where it failed
 
 
-_decoder = msgspec.json.Decoder(Page)
+_decoder = msgspec.json.Decoder(IntentRecord)
 
 
 def pack_names(names: Iterable[str]) -> str:
@@ -94,23 +94,23 @@
             prefix, width, ranges = part.split("|")
             for piece in ranges.split(","):
                 first, _, last = piece.partition("-")
-                if int(last or first) - int(first) > NAMES_MOST:
+                if int(last or first) - int(first) > MAX_NAMES_IN_RANGE:
                     raise ValueError("too many names in one range")
             prefix = unquote(prefix)
             names += [f"{prefix}{number:0{int(width)}d}" for number in unpack_ranges(ranges)]
     except ValueError as err:
-        raise BadRecord(f"machine names: {err}") from None
+        raise InvalidRecord(f"machine names: {err}") from None
     return names
 
 
-def decode(value: bytes | msgspec.Raw) -> Page:
+def decode(value: bytes | msgspec.Raw) -> IntentRecord:
     """The page of a stored value. Raises BadRecord."""
     try:
         return _decoder.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
-        raise BadRecord(f"the book of duties: {err}") from None
+        raise InvalidRecord(f"the book of duties: {err}") from None
 
 
-def encode(page: Page) -> bytes:
+def encode(record: IntentRecord) -> bytes:
     """The value to be stored."""
-    return msgspec.json.encode(page)
+    return msgspec.json.encode(record)
--- a/winglift/flows/driver.py
+++ b/winglift/flows/driver.py
@@ -5,14 +5,14 @@
 import asyncio
 import logging
 
-from .. import constants as c
-from ..api.jobs import Jobs, NotNow
-from ..controller.lead import Controller
+from .. import constants
+from ..api.jobs import Jobs, TemporarilyUnavailable
+from ..controller.leader_term import LeaderTerm
 from ..model import records as job_records
 from ..model.entities import Job
-from ..net.outside import steady
-from ..store.client import LeaseGone, Refused, TooOld, Unknown
-from ..wire import state as wire
+from ..net.runtime import monotonic_time
+from ..store.client import LeaseExpired, OutcomeUnknown, RequestRejected, RevisionCompacted
+from ..wire import state as state_messages
 from ..wire.cloud import MachineType
 from ..wire.flows import FlowState
 from ..wire.users import Invalid
@@ -26,14 +26,14 @@
 
 log = logging.getLogger(__name__)
 
-AGAIN = (Refused, Unknown, LeaseGone, FilesError, NotNow)
+AGAIN = (RequestRejected, OutcomeUnknown, LeaseExpired, FilesError, TemporarilyUnavailable)
 
 
 class Driver:
     """One per term; after `stop` it writes nothing more."""
 
     def __init__(
-        self, controller: Controller, jobs: Jobs, files: Files, engines: Engines, settings: FlowSettings
+        self, controller: LeaderTerm, jobs: Jobs, files: Files, engines: Engines, settings: FlowSettings
     ) -> None:
         self.controller = controller
         self.settings = controller.settings
@@ -58,21 +58,21 @@
         return self.controller.types
 
     def job(self, ref: str) -> Job | None:
-        return self.controller.picture.jobs.get(ref)
+        return self.controller.cluster.jobs.get(ref)
 
     def take_job(self, ref: str, version: int, record: job_records.JobRecord) -> None:
-        self.controller.take_job(ref, version, record)
+        self.controller.apply_record(ref, version, record)
 
     def near(self, ref: str, machines: frozenset[str] | None) -> None:
         if machines is None:
-            self.controller.view.near.pop(ref, None)
+            self.controller.snapshot_builder.preferred_machines.pop(ref, None)
         else:
-            self.controller.view.near[ref] = machines
+            self.controller.snapshot_builder.preferred_machines[ref] = machines
 
-    def leadership(self) -> wire.Condition:
+    def leadership(self) -> state_messages.Condition:
         # As every leader write, on the leadership key at its revision (invariant 1).
-        if not self.controller.me.entitled(steady()):
-            raise Refused("this node does not lead now")
+        if not self.controller.leadership.entitled(monotonic_time()):
+            raise RequestRejected("this node does not lead now")
         return self.controller.duties.fence.condition()
 
     async def cancel(self, ref: str) -> None:
@@ -92,7 +92,7 @@
                         if event.put is not None:
                             self._take(event.put, event.version, event.value)
                     revision = max(revision, changes.revision)
-            except (Refused, Unknown, TooOld) as err:
+            except (RequestRejected, OutcomeUnknown, RevisionCompacted) as err:
                 log.debug("workflows: %s", err)
                 await asyncio.sleep(0.5)
 
@@ -100,7 +100,7 @@
         ref = key.removeprefix(records.HEAD)
         try:
             head = records.decode_head(value)
-        except records.BadRecord as err:
+        except records.InvalidRecord as err:
             log.error("%s is left alone: %s", ref, err)
             return
         known = self._heads.get(ref)
@@ -182,17 +182,17 @@
             item = await self.state.get(records.HEAD + ref)
             if item is not None:
                 self._take(records.HEAD + ref, item.version, item.value)
-        except (Refused, Unknown) as err:
+        except (RequestRejected, OutcomeUnknown) as err:
             log.debug("%s: %s", ref, err)
 
     async def _pause(self, ref: str) -> None:
         wake = self._wakes[ref]
         wake.clear()
         try:
-            async with asyncio.timeout(c.FLOW_CYCLE_S):
+            async with asyncio.timeout(constants.FLOW_CYCLE_S):
                 await wake.wait()
         except TimeoutError:
             pass
         # What starts, ends and users need comes first.
-        while self.state.writes_free() < self.settings.settings.state.write_rps * c.FLOW_WRITES_KEPT:
-            await asyncio.sleep(c.WRITE_AGAIN_S)
+        while self.state.writes_free() < self.settings.settings.state.write_rps * constants.FLOW_WRITES_KEPT:
+            await asyncio.sleep(constants.WRITE_AGAIN_S)
--- a/winglift/flows/expressions.py
+++ b/winglift/flows/expressions.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from .. import constants as c
+from .. import constants
 
 _SEGMENT = re.compile(r"\.(\w+)|\['((?:[^'\\]|\\.)*)'\]|\[\"((?:[^\"\\]|\\.)*)\"\]|\[(\d+)\]")
 _REFERENCE = re.compile(r"(\w+)((?:\.\w+|\['(?:[^'\\]|\\.)*'\]|\[\"(?:[^\"\\]|\\.)*\"\]|\[\d+\])*)\Z")
@@ -114,7 +114,7 @@
 class Engines:
     """JavaScript contexts, a few, by their library."""
 
-    def __init__(self, time_s: float = c.EXPRESSION_S, memory_mb: float = c.EXPRESSION_MB) -> None:
+    def __init__(self, time_s: float = constants.EXPRESSION_S, memory_mb: float = constants.EXPRESSION_MB) -> None:
         self.time_s = time_s
         self.memory_mb = memory_mb
         self._contexts: OrderedDict[tuple[str, ...], Any] = OrderedDict()
@@ -131,7 +131,7 @@
             for text in library:
                 found.eval(text)
             self._contexts[library] = found
-            while len(self._contexts) > c.EXPRESSION_CONTEXTS:
+            while len(self._contexts) > constants.EXPRESSION_CONTEXTS:
                 self._contexts.popitem(last=False)
         return found
 
--- a/winglift/flows/files.py
+++ b/winglift/flows/files.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from .. import constants as c
+from .. import constants
 from ..net.client import Unanswered
-from ..net.outside import here
-from ..wire import flows as wire
+from ..net.runtime import current_runtime
+from ..wire import flows as flow_messages
 
 
 class FilesError(Exception):
@@ -28,16 +28,16 @@
 
 class Files:
     def __init__(self, host: str, port: int) -> None:
-        self._http = here().client(host, port)
+        self._http = current_runtime().client(host, port)
         self._sent: set[str] = set()
 
     async def _call(self, method: str, path: str, body: bytes | None = None) -> bytes:
         try:
             try:
-                reply = await self._http.request(method, path, body, c.FILES_TIMEOUT_S)
+                reply = await self._http.request(method, path, body, constants.FILES_TIMEOUT_S)
             except Unanswered:
                 # Every request here can be repeated, and a kept connection may have been closed by the other side.
-                reply = await self._http.request(method, path, body, c.FILES_TIMEOUT_S)
+                reply = await self._http.request(method, path, body, constants.FILES_TIMEOUT_S)
         except Unanswered as err:
             raise FilesError(f"store of uploads: {err}") from None
         if reply.status == 404:
@@ -60,16 +60,16 @@
             raise FilesError(f"store of uploads: another content under {digest}")
         return content
 
-    async def describe(self, job: str, page: int, works: list[wire.Work]) -> None:
-        await self._call("PUT", f"/tasks/{job}/{page}", wire.encode(works))
+    async def describe(self, job: str, page: int, works: list[flow_messages.Work]) -> None:
+        await self._call("PUT", f"/tasks/{job}/{page}", flow_messages.encode(works))
 
-    async def found(self, job: str, failed: bool = False) -> list[wire.FoundItem]:
-        items: list[wire.FoundItem] = []
+    async def found(self, job: str, failed: bool = False) -> list[flow_messages.FoundItem]:
+        items: list[flow_messages.FoundItem] = []
         while True:
             after = items[-1].number if items else -1
             body = await self._call("GET", f"/results/{job}?" + ("failed=1" if failed else f"after={after}"))
             try:
-                page = wire.found_pages.decode(body)
+                page = flow_messages.found_pages.decode(body)
             except msgspec.DecodeError as err:
                 raise FilesError(f"store of uploads: results of {job}: {err}") from None
             items += page.items
--- a/winglift/flows/graph.py
+++ b/winglift/flows/graph.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from .. import constants as c
+from .. import constants
 from ..policy.split import split_deadline
 from ..wire.flows import Hints, Plan, Step, Tool, Workflow, parse_plan
 from .values import FlowError
@@ -23,7 +23,7 @@
 
     @property
     def run_s(self) -> float:
-        return c.FLOW_ESTIMATE_S if self.hints.run_s is None else self.hints.run_s
+        return constants.FLOW_ESTIMATE_S if self.hints.run_s is None else self.hints.run_s
 
 
 def graph(plan: Plan) -> dict[str, Node]:
@@ -49,9 +49,10 @@
         if key in outer:
             raise FlowError(f"{path or 'the workflow'}: a workflow runs itself")
         # A few lines can describe a graph that no memory holds: two steps a level, each running the next level.
-        if len(outer) > c.FLOW_DEPTH or len(nodes) + len(process.steps) > c.FLOW_STEPS_MOST:
+        if len(outer) > constants.FLOW_DEPTH or len(nodes) + len(process.steps) > constants.FLOW_STEPS_MAX:
             raise FlowError(
-                f"{path}: more than {c.FLOW_DEPTH} workflows inside one another, or {c.FLOW_STEPS_MOST} steps"
+                f"{path}: more than {constants.FLOW_DEPTH} workflows inside one another, "
+                f"or {constants.FLOW_STEPS_MAX} steps"
             )
         behind = {p.name: given.get(p.name, set()) for p in process.inputs}
         own = process.hints.over(hints)
--- a/winglift/flows/leader.py
+++ b/winglift/flows/leader.py
@@ -8,7 +8,7 @@
 from ..model import records as job_records
 from ..model.entities import Job
 from ..store.client import StateClient
-from ..wire import state as wire
+from ..wire import state as state_messages
 from ..wire.cloud import MachineType
 from .expressions import Engines
 from .files import Files
@@ -44,6 +44,6 @@
 
     def near(self, ref: str, machines: frozenset[str] | None) -> None: ...
 
-    def leadership(self) -> wire.Condition: ...
+    def leadership(self) -> state_messages.Condition: ...
 
     async def cancel(self, ref: str) -> None: ...
--- a/winglift/flows/parts.py
+++ b/winglift/flows/parts.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from .. import constants as c
+from .. import constants
 from ..wire.flows import Hints, Tool
 from ..wire.users import Invalid, Kind, Priority, Submission, encode, parse_submission
 from .command import Builder, Made, Size
@@ -39,7 +39,7 @@
             await asyncio.sleep(0)
         made = builder(engine, leaf, place).build()
         counts[made.size] = counts.get(made.size, 0) + 1
-        key = made.size, (counts[made.size] - 1) // c.MAX_PIECES
+        key = made.size, (counts[made.size] - 1) // constants.MAX_PIECES
         if key not in found:
             found[key] = Part(job_ref(flow, leaf.path, len(found)), made.size, [], [])
         found[key].places.append(place)
@@ -73,7 +73,7 @@
         one_zone=False,
         spread=False,
         spot=bool(hints.spot),
-        estimate_s=c.FLOW_ESTIMATE_S if hints.run_s is None else hints.run_s,
+        estimate_s=constants.FLOW_ESTIMATE_S if hints.run_s is None else hints.run_s,
         checkpoint_s=hints.checkpoint_s or 0.0,
         save_s=hints.save_s or 0.0,
         due_s=due_s,
--- a/winglift/flows/records.py
+++ b/winglift/flows/records.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from .. import constants as c
-from ..model.records import BadRecord
+from .. import constants
+from ..model.records import InvalidRecord
 from ..wire.flows import FlowReply, FlowState, FlowSubmission, How
 from .values import job_ref
 
@@ -57,7 +57,7 @@
     try:
         return decoder.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
-        raise BadRecord(str(err)) from None
+        raise InvalidRecord(str(err)) from None
 
 
 def decode_head(value: bytes | msgspec.Raw) -> Head:
@@ -70,8 +70,8 @@
 
 def bounded(text: str) -> str:
     """The end of a text, as much as a record keeps: counted as it is written, where a byte may take six."""
-    text = text[-c.FLOW_ERRORS_BYTES :]
-    while len(msgspec.json.encode(text)) > c.FLOW_ERRORS_BYTES:
+    text = text[-constants.FLOW_ERRORS_BYTES :]
+    while len(msgspec.json.encode(text)) > constants.FLOW_ERRORS_BYTES:
         text = text[len(text) // 8 + 1 :]
     return text
 
