--- a/winglift/api/handlers.py
+++ b/winglift/api/handlers.py
@@ -126,10 +126,10 @@
     async def post(self) -> None:
         """Accept a job: 201, or 200 if it was accepted before."""
 
-        async def submit() -> tuple[int, object]:
+        async def _submit() -> tuple[int, object]:
             return await self.node.jobs.submit(user_messages.parse_submission(self.request.body))
 
-        await self.respond(submit)
+        await self.respond(_submit)
 
 
 class Status(UserHandler):
@@ -145,10 +145,10 @@
         if ref is None:
             return
 
-        async def run_operation() -> tuple[int, object]:
+        async def _run_operation() -> tuple[int, object]:
             return 200, await operation(ref)
 
-        await self.respond(run_operation)
+        await self.respond(_run_operation)
 
 
 class Cancel(Status):
--- a/winglift/api/jobs.py
+++ b/winglift/api/jobs.py
@@ -87,7 +87,7 @@
         self.types = types
         self.withdrawn_types = withdrawn_types  # types that the cloud offered earlier, but not at present
         self._on_change = on_change
-        self._on_seen = on_seen  # called with each record reported to a user here, whichever node committed it
+        self._on_seen = on_seen  # called with each record that is reported to a user, whichever node committed it
         self._final_states: OrderedDict[str, StatusReply] = OrderedDict()
         reads_per_s = settings.settings.state.rps * state.follower_share() * constants.REFRESH_SHARE
         self._read_cache: ReadCache[StatusReply] = ReadCache(
@@ -147,13 +147,13 @@
         return await self._commit_new(spec.ref, record)
 
     async def _check_feasible(self, spec: Submission) -> StatusReply | None:
-        """Check that the job can run. Returns the reply of a job that looks impossible but was accepted before.
+        """Check that the job can run. Returns the reply of a job that seems impossible but was accepted before.
 
         Raises Unschedulable, or TemporarilyUnavailable while the machine types are not known.
         """
         types = self.types()
-        # What looks impossible may be a repeat of a job that is accepted already: look it up before 422.
-        # Whether the types are known is decided once, before the look-up: they arrived during it, and a job that
+        # What seems impossible may be a repeat of a job that is accepted already: it is read before a 422.
+        # Whether the types are known is decided once, before the read: they once arrived during it, and a job that
         # could run was refused with 422.
         unknown = not types
         reason = "machine types are not known yet" if unknown else feasible(spec, self.settings, types)
@@ -192,7 +192,7 @@
         self._read_cache.add_record(ref, result.revision, record)
         self._on_change(ref, result.revision, record)
         if monotonic_time() - sent > constants.SUBMIT_TIMEOUT_S + constants.REFRESH_VALID_S:
-            # Another node may have answered a copy of the request, and the job may be finished: the user looks it up.
+            # Another node may have answered a copy of the request, and the job may be finished: the user asks again.
             raise TemporarilyUnavailable("this node stood still")
         return 201, StatusReply(ref, JobStatus.QUEUED)
 
@@ -210,8 +210,8 @@
                 return None
             record, version = found
             reply = status_of(record, ref)
-            recorded_state = JobState(record.state)
-            if recorded_state.is_final:
+            old_state = JobState(record.state)
+            if old_state.is_final:
                 # Written perhaps by this node's own transaction that got no answer, or by a node that crashed before
                 # it notified any other: the node that confirms a final state handles it, whoever has written it.
                 self._on_seen(ref, version, record)
@@ -220,7 +220,7 @@
             record.state = JobState.CANCELLED.value
             # Read before the commit, and so before the user is answered: any later leader counts cancel_s from it.
             record.cancelled_at = wall_time()
-            condition, put = records.record_change(ref, version, recorded_state, record)
+            condition, put = records.record_change(ref, version, old_state, record)
             try:
                 result = await self.state.commit(state_messages.Transaction([condition], [put]))
             except OutcomeUnknown:
--- a/winglift/constants.py
+++ b/winglift/constants.py
@@ -116,7 +116,7 @@
 CANCELLATION_KEPT_SHARE = 3.0  # of cancel_s; the cancellations kept are the changes that the state service accepts in
 # this time
 CANCELLATION_PROOFS_MAX = 500  # proofs in one frame: some 60 bytes each
-CONTACT_KEPT_S = 120.0  # s for which the address of a machine is kept after its last report here
+CONTACT_KEPT_S = 120.0  # s for which a node keeps the address of a machine after its last report
 STOP_REPEAT_S = 1.0  # s between two direct stops of the same task
 STOP_GRACE_MARGIN_S = 1.0  # s added to the time in which a task saves its state
 FAULTY_MACHINE_FAILURES = 2  # failed tasks on one machine, not attributed to their jobs, until it counts as faulty
@@ -268,7 +268,7 @@
 FLOW_ESTIMATE_S = 60.0  # s; assumed run time of a step that gives none
 FLOW_STEPS_SHOWN = 50  # steps in one answer: with their paths and jobs they stay below the protocol's 64 KiB
 FLOW_LISTED = 20  # workflows in one answer, with causes and errors below 64 KiB
-FLOW_WRITES_KEPT = 0.15  # of the changes a second that the driver leaves for starts, ends and users
+FLOW_WRITES_KEPT = 0.15  # of the changes a second that the driver leaves for starts, completions and users
 FILES_TIMEOUT_S = 10.0  # s for one transfer from or to the upload store
 LOAD_CONTENTS_BYTES = 64 * 1024  # CWL's limit of loadContents
 
--- a/winglift/node.py
+++ b/winglift/node.py
@@ -49,44 +49,58 @@
     """A controller node: it answers users and workers, and runs the leader's work while it holds the lease."""
 
     def __init__(self, settings: Settings, script: Script | None = None) -> None:
+        params = settings.settings
         self.settings = settings
         self.script = script or Script()
-        params = settings.settings
-        self.state = StateClient(*parse_addr(settings.services.state, "services.state"), params.state, params.nodes)
-        self.cloud = CloudClient(*parse_addr(settings.services.cloud, "services.cloud"), params.cloud, params.nodes)
         self.types: dict[str, MachineType] = {}
         self.withdrawn_types: dict[str, MachineType] = {}  # offered earlier, but not at present
-        self.leader_term: LeaderTerm | None = None
-        self.election = Election(self.state, settings.node, self._on_change)
-        self.cloud.may_change = lambda: self.leader_term is not None and self.leader_term.may_use_cloud()
-        self.cloud.may_enforce_cancellations = lambda: (
-            self.leader_term is not None and self.leader_term.may_only_enforce_cancellations()
-        )
-        self.peers = PeerConnections(
-            settings.node,
-            settings.seeds,
+        self.leader_term: LeaderTerm | None = None  # the leader's work, while this node leads
+        self._server: Server | None = None
+        self._extensions: list[Extension] = []
+        # Clients of the state service and the cloud, and the election.
+        self.state = StateClient(*parse_addr(settings.services.state, "services.state"), params.state, params.nodes)
+        self.cloud = CloudClient(*parse_addr(settings.services.cloud, "services.cloud"), params.cloud, params.nodes)
+        self.election = Election(self.state, settings.node, self._on_role_change)
+        # The other nodes, and the enforcement of cancellations.
+        self.peers = self._new_peer_connections()
+        self.cancellation_enforcer = CancellationEnforcer(self)
+        # What the cloud client asks, last of all, before it sends a change (invariant 6).
+        self.cloud.may_change = self._may_change_cloud
+        self.cloud.may_enforce_cancellations = self._may_enforce_cancellations
+        self.cloud.may_delete_unfenced = self.cancellation_enforcer.may_delete
+        # What users and workers talk to.
+        self.jobs = self._new_jobs()
+        self.reports = ReportHandler(self)
+        self._started_at = monotonic_time()
+
+    def _new_peer_connections(self) -> PeerConnections:
+        return PeerConnections(
+            self.settings.node,
+            self.settings.seeds,
             self._own_state,
             self._on_forwarded_report,
-            self._on_job,
-            self._on_peer,
-            self._on_gone,
+            self._on_peer_job_record,
+            self._on_peer_state,
+            self._on_peer_gone,
             lambda peer: self.cancellation_enforcer.on_peer_connected(peer),
             lambda proofs: self.cancellation_enforcer.on_proofs(proofs),
         )
-        self.cancellation_enforcer = CancellationEnforcer(self)
-        self.cloud.may_delete_unfenced = self.cancellation_enforcer.may_delete
-        self.jobs = Jobs(
-            settings,
+
+    def _new_jobs(self) -> Jobs:
+        return Jobs(
+            self.settings,
             self.state,
             lambda: self.types,
-            self._on_record,
+            self._on_record_committed,
             lambda: self.withdrawn_types,
-            self._on_record_seen,
+            self._on_record_reported,
         )
-        self.reports = ReportHandler(self)
-        self._began = monotonic_time()
-        self._server: Server | None = None
-        self._extensions: list[Extension] = []
+
+    def _may_change_cloud(self) -> bool:
+        return self.leader_term is not None and self.leader_term.may_use_cloud()
+
+    def _may_enforce_cancellations(self) -> bool:
+        return self.leader_term is not None and self.leader_term.may_only_enforce_cancellations()
 
     def extend(self, extension: Extension) -> None:
         """Register an extension; to be called before `run`."""
@@ -107,7 +121,7 @@
     def _on_forwarded_report(self, body: bytes) -> tuple[int, bytes]:
         return self.reports.relayed(body)
 
-    def _on_job(self, note: peer_messages.JobNote) -> int:
+    def _on_peer_job_record(self, note: peer_messages.JobNote) -> int:
         """Take a committed record from a peer: 200 if this node handles it as the leader, 202 if it only stored it."""
         try:
             record = records.decode(note.record)
@@ -118,8 +132,8 @@
             return 400
         return 200 if self.handles_cancellation(note.ref) else 202
 
-    def _on_record_seen(self, ref: str, version: int, record: records.JobRecord) -> None:
-        """Called with each record reported to a user here. This node enforces a cancellation that it has reported."""
+    def _on_record_reported(self, ref: str, version: int, record: records.JobRecord) -> None:
+        """Called with each record reported to a user: a reported cancellation is enforced by this node."""
         if self.cancellation_enforcer.add_record(ref, version, record):
             self._apply_to_leader_term(ref, version, record)
 
@@ -146,12 +160,12 @@
         if self.leader_term is not None:
             self.leader_term.on_machines_deleted_elsewhere(machines)
 
-    def _on_peer(self, state: peer_messages.PeerState) -> None:
+    def _on_peer_state(self, state: peer_messages.PeerState) -> None:
         leadership = self.election.leadership
         if leadership.role in (Role.LEADER, Role.DOUBTFUL) and state.term > leadership.term:
             self.election.step_down(f"{state.node} knows term {state.term}")
 
-    def _on_gone(self, node: str) -> None:
+    def _on_peer_gone(self, node: str) -> None:
         """Called when a peer refuses connections, so that its process seems to have ended.
 
         If it led, its lease is expired early. But a packet filter between nodes refuses connections too: a node that
@@ -162,7 +176,7 @@
         if peer.last_state is not None and peer.last_state.leads and self.peers.connected(but=node):
             asyncio.ensure_future(self.election.expire_lease_of(node))
 
-    def _on_record(self, ref: str, version: int, record: records.JobRecord) -> None:
+    def _on_record_committed(self, ref: str, version: int, record: records.JobRecord) -> None:
         """Called after this node has committed a change of a job: the leader is notified at once."""
         if self.leader_term is not None:
             self._apply_to_leader_term(ref, version, record)
@@ -178,13 +192,13 @@
         In an outage that all nodes share it counts as up, since no other node serves better.
         """
         now = monotonic_time()
-        if not self.types and now - self._began < constants.STARTUP_GRACE_S:
+        if not self.types and now - self._started_at < constants.STARTUP_GRACE_S:
             return "machine types are not known yet"
         if self.state.health() is Health.DOWN and self.peers.state_works_elsewhere(now):
             return "the state service refuses this node"
         # A node that reaches neither the state service nor any peer may share an outage with all nodes, or be
         # partitioned alone. Its workers show which: they find other nodes, or stay silent.
-        silent_s = now - max(self._began, self.reports.heard_at)
+        silent_s = now - max(self._started_at, self.reports.heard_at)
         if (
             self.settings.seeds
             and not self.hears_others()
@@ -212,7 +226,7 @@
         limit = self.settings.settings.machine_limits.sockets * constants.SOCKET_SHARE
         return self._server is not None and self._server.open > limit
 
-    def _on_change(self) -> None:
+    def _on_role_change(self) -> None:
         """Called when the role has changed: start or stop the leader's work."""
         if self.election.leadership.role is Role.LEADER:
             self.leader_term = LeaderTerm(
--- a/winglift/wire/__init__.py
+++ b/winglift/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Wire formats: typed messages of every protocol. No I/O here, so clients can use it too."""
+"""Wire formats: typed messages of all protocols. The package does no I/O, so that clients can use it too."""
--- a/winglift/wire/peer.py
+++ b/winglift/wire/peer.py
@@ -158,7 +158,7 @@
                 image, offset = _parse_text(body, offset)
                 (held[image],) = _SIZE.unpack_from(body, offset)
                 offset += _SIZE.size
-        # Frames of earlier versions end here, without the silent machines.
+        # Frames of earlier versions stop at this point, without the silent machines.
         silent_count = _COUNT.unpack_from(body, offset)[0] if offset < len(body) else 0
         offset += _COUNT.size
         for _ in range(silent_count):
--- a/winglift/wire/users.py
+++ b/winglift/wire/users.py
@@ -1,6 +1,6 @@
 """Messages between users and controller nodes (PROTOCOL, "Users -> controller nodes").
 
-The names used on the wire appear only here, in `rename`; the code uses the usual terms of the field.
+The names used on the wire appear only in this module, in `rename`; the code uses the usual terms of the field.
 """
 
 from __future__ import annotations
