--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -113,7 +113,7 @@
         "forms": [user_messages.JOB_REF.pattern, flow_messages.FLOW_REF.pattern, flow_messages.DIGEST.pattern],
         "frame magic": peer_messages.MAGIC,
         "frame limit": peer_messages.MAX_FRAME,
-        "report path": report_fast_path.REPORT,
+        "report path": report_fast_path.REPORT_PATH,
         "script numbers": script.NUMBERS,
         "script hooks": sorted(script.HOOKS),
         **{f"enum: {name}": [member.value for member in kind] for name, kind in enums().items()},
@@ -249,8 +249,8 @@
     numbers = {"idle_keep_s": 12.5, "slack_pad": 2.25, "reserve_deviations": 3.5, "move_loss_share": 0.0625}
     assert {name: found.number(name) for name in script.NUMBERS} == numbers
     assert set(found.hooks) == {"reserve", "estimate_s"} == set(script.HOOKS)
-    assert found.ask("reserve", 4.0, "lens-render", 4) == 11.0
-    assert found.ask("estimate_s", 5.0, "lens-render", 10.0, 5.0) == 25.0
+    assert found.call_hook("reserve", 4.0, "lens-render", 4) == 11.0
+    assert found.call_hook("estimate_s", 5.0, "lens-render", 10.0, 5.0) == 25.0
 
 
 def test_the_routes_of_users_are_known():
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -84,7 +84,7 @@
     asked = next(
         n.lineno
         for n in ast.walk(call)
-        if isinstance(n, ast.Call) and isinstance(n.func, ast.Name) and n.func.id == "door"
+        if isinstance(n, ast.Call) and isinstance(n.func, ast.Name) and n.func.id == "may_bypass_fence"
     )
     waits = [n.lineno for n in ast.walk(call) if isinstance(n, ast.Await)]
     sent = next(n.lineno for n in ast.walk(call) if isinstance(n, ast.Attribute) and n.attr == "request")
--- a/tests/test_kinds.py
+++ b/tests/test_kinds.py
@@ -275,7 +275,7 @@
         self.asked: list[str] = []
         self.free = asyncio.Event()
 
-    async def turn(self) -> None:
+    async def wait_for_budget(self) -> None:
         await self.free.wait()
 
     async def rent(self, request: cloud_messages.RentRequest) -> list[str]:
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -214,7 +214,7 @@
         else:
             fails(day.test_a_copy_of_a_machine_that_an_earlier_term_deleted_is_no_room)
     elif guard == "sends on":
-        monkeypatch.setattr(PartitionDetector, "redirects", lambda *args: False)
+        monkeypatch.setattr(PartitionDetector, "should_redirect", lambda *args: False)
         fails(day.test_workers_of_a_node_that_is_alone_are_led_by_the_others, "leader", False, caplog)
     elif guard == "to the leader":
         monkeypatch.setattr(Node, "unreachable_leader_name", never)
@@ -230,33 +230,33 @@
         )
         fails(day.test_a_zone_that_is_cut_off_with_its_node_loses_nothing, False, monkeypatch)
     else:
-        monkeypatch.setattr(PartitionDetector, "served", lambda *args: None)
+        monkeypatch.setattr(PartitionDetector, "on_served", lambda *args: None)
         fails(day.test_workers_of_a_node_that_is_alone_are_led_by_the_others, "leader", False, caplog)
 
 
 def test_who_is_sent_on_and_what_counts_as_back():
     one = PartitionDetector(2, 14.0, 1.5)
     one.update(True, 0.0)
-    assert one.state is PartitionState.CONNECTED and not one.redirects("vm-1", (1, 1), True, False, 0.0)
+    assert one.state is PartitionState.CONNECTED and not one.should_redirect("vm-1", (1, 1), True, False, 0.0)
     for now in (1.0, 2.5, 4.0, 5.5):
         one.update(False, now)
-        one.served("vm-1", now)
-        one.served("vm-2", now)
+        one.on_served("vm-1", now)
+        one.on_served("vm-2", now)
     assert one.state is PartitionState.ISOLATED
-    assert not one.redirects("vm-3", (1, 9), True, False, 5.6)  # not served here before: its lease may be short
-    assert not one.redirects("vm-2", (1, 9), False, False, 5.6)  # it has work, and idle ones may come yet
-    assert one.redirects("vm-1", (1, 9), True, False, 5.6) and one.state is PartitionState.SCOUTING
-    one.redirects("vm-1", (1, 8), True, False, 9.0)
+    assert not one.should_redirect("vm-3", (1, 9), True, False, 5.6)  # not served here before: its lease may be short
+    assert not one.should_redirect("vm-2", (1, 9), False, False, 5.6)  # it has work, and idle ones may come yet
+    assert one.should_redirect("vm-1", (1, 9), True, False, 5.6) and one.state is PartitionState.SCOUTING
+    one.should_redirect("vm-1", (1, 8), True, False, 9.0)
     assert one.state is PartitionState.SCOUTING  # a late copy of what it reported before
     one.update(False, 18.0)
-    one.redirects("vm-1", (1, 10), True, False, 18.0)
+    one.should_redirect("vm-1", (1, 10), True, False, 18.0)
     assert one.state is PartitionState.PARTITIONED  # it found nobody: the zone is cut off, and everybody is served
-    one.served("vm-2", 18.0)
-    assert not one.redirects("vm-2", (1, 20), True, True, 18.5)
+    one.on_served("vm-2", 18.0)
+    assert not one.should_redirect("vm-2", (1, 20), True, True, 18.5)
     one.update(False, 60.0)
     assert one.state is PartitionState.ISOLATED  # asked again later
-    one.served("vm-2", 64.0)
-    assert one.redirects("vm-2", (1, 30), True, False, 64.5)
+    one.on_served("vm-2", 64.0)
+    assert one.should_redirect("vm-2", (1, 30), True, False, 64.5)
     one.update(False, 90.0)
     assert one.state is PartitionState.REDIRECTING  # it stayed away
     one.update(True, 90.5)
--- a/winglift/api/jobs.py
+++ b/winglift/api/jobs.py
@@ -49,7 +49,7 @@
     return StatusReply(ref, JobStatus.RUNNING if running else JobStatus.QUEUED, done, running)
 
 
-def feasible(spec: Submission, settings: Settings, types: dict[str, MachineType]) -> str | None:
+def infeasible_reason(spec: Submission, settings: Settings, types: dict[str, MachineType]) -> str | None:
     """The reason why a job can never run with these machine types, or None if it can."""
     team = next((team for team in settings.settings.teams if team.name == spec.team), None)
     if team is None:
@@ -156,13 +156,13 @@
         # Whether the types are known is decided once, before the read: they once arrived during it, and a job that
         # could run was refused with 422.
         unknown = not types
-        reason = "machine types are not known yet" if unknown else feasible(spec, self.settings, types)
+        reason = "machine types are not known yet" if unknown else infeasible_reason(spec, self.settings, types)
         if reason is None:
             return None
         known = await self.status(spec.ref)
         if known is not None:
             return known
-        if not unknown and feasible(spec, self.settings, types | self.withdrawn_types()) is None:
+        if not unknown and infeasible_reason(spec, self.settings, types | self.withdrawn_types()) is None:
             # The cloud's list of types may be incomplete for a moment; a refusal with 422 is final.
             raise TemporarilyUnavailable("the only machine type that it fits is not offered now")
         raise TemporarilyUnavailable(reason) if unknown else Unschedulable(reason)
--- a/winglift/cloud/client.py
+++ b/winglift/cloud/client.py
@@ -63,7 +63,7 @@
         share = LEADER_RATE_SHARE if leads or self._nodes == 1 else FOLLOWERS_RATE_SHARE / max(1, self._nodes - 1)
         self._budget.resize(self._limits.rps * share, max(1.0, self._limits.rps * share), monotonic_time())
 
-    async def turn(self) -> None:
+    async def wait_for_budget(self) -> None:
         """Wait until a call could be sent at once; rentals gathered meanwhile go as one request."""
         while self._cancellation_calls_waiting or self._budget.available(monotonic_time()) < 1:
             await asyncio.sleep(self._budget.wait_s(monotonic_time()) + BUDGET_WAIT_MARGIN_S)
@@ -74,11 +74,11 @@
         path: str,
         body: bytes | None = None,
         for_cancellation: bool = False,
-        door: Callable[[], bool] = lambda: False,
+        may_bypass_fence: Callable[[], bool] = lambda: False,
     ) -> Reply:
         """Send a request when the rate allows it. Raises NotAuthorized, or CloudError without an answer.
 
-        `door`: whether a request that the fence would stop may be sent all the same.
+        `may_bypass_fence`: whether a request that the fence would stop may be sent all the same.
         """
         self._cancellation_calls_waiting += for_cancellation
         try:
@@ -93,7 +93,7 @@
             body is not None
             and not self.may_change()
             and not (for_cancellation and self.may_enforce_cancellations())
-            and not door()
+            and not may_bypass_fence()
         ):
             raise NotAuthorized("not entitled to act")
         try:
--- a/winglift/cloud/inventory.py
+++ b/winglift/cloud/inventory.py
@@ -86,7 +86,7 @@
     async def _send(self) -> None:
         """Send the waiting rentals, the largest first, one whenever the cloud's rate allows a call."""
         while self._unsent:
-            await self.cloud.turn()
+            await self.cloud.wait_for_budget()
             if not self._withdraw_refused():
                 continue
             pool = max(self._unsent, key=lambda candidate: _count(self._unsent[candidate]))
--- a/winglift/config/script.py
+++ b/winglift/config/script.py
@@ -73,7 +73,7 @@
         """The value of a setting: the script's, or its default."""
         return self.numbers[name]
 
-    def ask(self, name: str, default: float, *args: str | float) -> float:
+    def call_hook(self, name: str, default: float, *args: str | float) -> float:
         """Call a hook and return its result, or `default` if there is no such hook.
 
         A hook that fails or returns no usable number is disabled, and the default is returned.
--- a/winglift/controller/demands.py
+++ b/winglift/controller/demands.py
@@ -93,7 +93,7 @@
     def _run_s(self, job: Job) -> float:
         """The padded estimate of one task's run time, as the operators' script corrects it."""
         run_s = self.cluster.estimate_s(job) * constants.ESTIMATE_PADDING_RATIO
-        return self.script.ask("estimate_s", run_s, job.spec.job_class, job.spec.estimate_s, run_s)
+        return self.script.call_hook("estimate_s", run_s, job.spec.job_class, job.spec.estimate_s, run_s)
 
     def stalled_replicas(self, job: Job, now: float) -> list[policy_snapshot.StalledReplica]:
         """Replicas that have been fetching their image for some time and are estimated to need much longer."""
--- a/winglift/controller/warm_pool_targets.py
+++ b/winglift/controller/warm_pool_targets.py
@@ -44,5 +44,5 @@
             continue
         proposed = warm_pool_size([(when, spec.tasks) for when, spec in arrivals], wall, mtype.boot_s, deviations)
         if proposed:
-            found.append(WarmPoolTarget(latest, int(script.ask("reserve", proposed, name, proposed))))
+            found.append(WarmPoolTarget(latest, int(script.call_hook("reserve", proposed, name, proposed))))
     return found
--- a/winglift/flows/run.py
+++ b/winglift/flows/run.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from .. import constants
-from ..api.jobs import feasible
+from ..api.jobs import infeasible_reason
 from ..model import records as job_records
 from ..model.job_state import JobState
 from ..net.runtime import monotonic_time, wall_time
@@ -280,7 +280,7 @@
         types = leader.types()
         if not types:
             raise RequestRejected("machine types are not known yet")
-        why = feasible(spec, leader.settings, types)
+        why = infeasible_reason(spec, leader.settings, types)
         if why is not None:
             raise FlowError(f"{leaf.path}: can never run: {why}")
         doubtful = leaf.path in self._doubtful
--- a/winglift/workers/partition_detector.py
+++ b/winglift/workers/partition_detector.py
@@ -97,7 +97,7 @@
         elif self.state is PartitionState.PARTITIONED and now - self.since > constants.PARTITION_PROBE_INTERVAL_S:
             self.move(PartitionEvent.SCOUT_AGAIN, now)
 
-    def redirects(self, worker: str, order: ReportOrder, idle: bool, has_newer_token: bool, now: float) -> bool:
+    def should_redirect(self, worker: str, order: ReportOrder, idle: bool, has_newer_token: bool, now: float) -> bool:
         """Whether this worker is to be redirected.
 
         `order`: that of its report, which may be a late copy; `has_newer_token`: its token is higher than any that this
@@ -140,7 +140,7 @@
         lease_outlives_round = self._lease_s > self._round_s + constants.CLOCK_DRIFT * self._lease_s
         return preferred or (lease_outlives_round and waited > 2 * self._report_s) or waited > self._lease_s / 2
 
-    def served(self, worker: str, now: float) -> None:
+    def on_served(self, worker: str, now: float) -> None:
         """Note that a worker's report has been answered with 200."""
         if self.state is not PartitionState.CONNECTED:
             self._served[worker] = now
--- a/winglift/workers/reports.py
+++ b/winglift/workers/reports.py
@@ -120,7 +120,7 @@
         unreachable_leader = self.node.unreachable_leader_name()
         self.partition_detector.update(unreachable_leader is None and self.node.can_reach_others(), now)
         has_newer_token = report.token > self.node.known_term()
-        if self.partition_detector.redirects(
+        if self.partition_detector.should_redirect(
             report.machine, (report.session, report.seq), not report.tasks, has_newer_token, now
         ):
             return 421, msgspec.json.encode(
@@ -162,7 +162,7 @@
         if answer[0] == 200:
             if stops:
                 answer = 200, _with_stops(answer[1], stops)
-            self.partition_detector.served(report.machine, monotonic_time())
+            self.partition_detector.on_served(report.machine, monotonic_time())
             if belongs_elsewhere:
                 self._contact(report.machine, monotonic_time()).served = True
         return answer
