--- a/standins/growth.py
+++ b/standins/growth.py
@@ -73,7 +73,7 @@
             machine.state, machine.last_heard, machine.addr = MachineState.UP, NOW, "10.0.0.1:1"
             machine.session, machine.seq = 1, 1
             for image in range(6):
-                machine.remember_image(f"img-{(n + image) % 40}", 6.0)
+                machine.track_image(f"img-{(n + image) % 40}", 6.0)
         free = iter(self.names)
         for name in free:
             kind = self.rng.random()
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -79,7 +79,7 @@
             registry.clear_machine("wk-1", machine, now, proven_by_peer=True)
             held.discard(machine)
         elif action == "gone":
-            registry.machine_deleted(machine, now)
+            registry.on_machine_deleted(machine, now)
             held.discard(machine)
         elif action == "answer":
             assert registry.on_probe_answer(report(machine, "wk-2/0"), now, now) == []
--- a/tests/test_cluster_state.py
+++ b/tests/test_cluster_state.py
@@ -84,7 +84,7 @@
         for ref, (version, record) in self.store.items():
             apply_record(self.cluster, ref, version, record, self.now)
         self.failure_detector = FailureDetector(self.cluster, settings().settings.workers, 0.0, "a")
-        self.failure_detector.entitled_since = self.now
+        self.failure_detector.leading_since = self.now
 
     def put(self, ref: str, record: records.JobRecord) -> int:
         self.version += 1
@@ -191,7 +191,7 @@
     def stands_still(self, seconds):
         """The leader wakes after a pause, still entitled or again."""
         self.now += seconds
-        self.failure_detector.entitled_since = self.now
+        self.failure_detector.leading_since = self.now
 
     @rule()
     def late_report(self):
@@ -332,11 +332,11 @@
     leadership.move(RoleEvent.CAMPAIGN)
     leadership.move(RoleEvent.WON)
     leadership.extend_lease(100.0, 3.0)
-    assert leadership.entitled(102.0) and not leadership.entitled(103.0)
+    assert leadership.has_valid_lease(102.0) and not leadership.has_valid_lease(103.0)
     leadership.move(RoleEvent.OVERDUE)
-    assert leadership.role is Role.DOUBTFUL and not leadership.entitled(101.0)
+    assert leadership.role is Role.LEASE_IN_DOUBT and not leadership.has_valid_lease(101.0)
     leadership.move(RoleEvent.RENEWED)
-    assert leadership.entitled(101.0)
+    assert leadership.has_valid_lease(101.0)
     leadership.move(RoleEvent.LOST)
     leadership.move(RoleEvent.RENEWED)
     assert leadership.role is Role.FOLLOWER
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -68,11 +68,11 @@
         elif step == "again":  # the node wins once more: these duties belong to the term before
             leadership.term += 1
         else:
-            if step is RoleEvent.RENEWED and leadership.role in (Role.LEADER, Role.DOUBTFUL):
+            if step is RoleEvent.RENEWED and leadership.role in (Role.LEADER, Role.LEASE_IN_DOUBT):
                 leadership.extend_lease(now, 3.0)
             leadership.move(step)
         duties.sync_with_lease()
-        lost = lost or leadership.role not in (Role.LEADER, Role.DOUBTFUL) or leadership.term != 3
+        lost = lost or leadership.role not in (Role.LEADER, Role.LEASE_IN_DOUBT) or leadership.term != 3
         may = duties.may_act(DutyName.CLOUD_OPERATIONS, now)
         assert may == (known and not lost and leadership.role is Role.LEADER and now < leadership.valid_until)
         assert duties[DutyName.CLOUD_OPERATIONS].state in (
@@ -204,7 +204,7 @@
 
         async def work() -> None:
             for one in operations:
-                made.intend(one)
+                made.add_intent(one)
                 if service.late:
                     service.apply(service.late.pop(0))  # held back till now
                 await made.persist([one])
@@ -214,7 +214,7 @@
                 assert one.name in after.rentals and after.rentals[one.name].request == one.request
             service.leader = 99
             with pytest.raises(FenceLost):
-                await made.persist([made.intend(rental(50))])
+                await made.persist([made.add_intent(rental(50))])
             assert all(isinstance(service.apply(txn), state_messages.Conflict) for txn in service.late)
 
         await during(made, work())
@@ -231,7 +231,7 @@
         service.plan = ["late"]
         made = intent_log(service)
         await made.load()
-        made.intend(rental(1))
+        made.add_intent(rental(1))
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.05):
                 await during(made, made.persist(made.rentals.values()))
@@ -256,8 +256,8 @@
         made = intent_log(service)
 
         async def work() -> None:
-            await made.persist([made.intend(rental(1))])
-            await made.persist([made.intend(rental(2))])
+            await made.persist([made.add_intent(rental(1))])
+            await made.persist([made.add_intent(rental(2))])
             if not guarded:
                 service.late[0].conditions.pop()
             assert isinstance(service.apply(service.late[0]), state_messages.Conflict) == guarded
@@ -277,11 +277,11 @@
         many = [ExternalOperation(f"m{n * 7919:07d}x", float(n)) for n in range(600)]  # names that make no ranges
 
         async def work() -> None:
-            few = [made.intend(rental(n)) for n in range(12)]
+            few = [made.add_intent(rental(n)) for n in range(12)]
             await made.persist(few)
             assert service.writes == 1
             for one in many:
-                made.intend(one)
+                made.add_intent(one)
             waits = asyncio.ensure_future(made.persist(many))
             await asyncio.sleep(0.02)
             recorded = [e for e in many if e.state is external_operation.OperationState.RECORDED]
@@ -309,14 +309,14 @@
         made = intent_log(service)
 
         async def work() -> None:
-            one = made.intend(rental(1, count=3))
+            one = made.add_intent(rental(1, count=3))
             await made.persist([one])
             one.move(external_operation.OperationEvent.SEND, clock[0])
             one.machines = ("vm-000001", "vm-000002", "vm-000009")
             made.complete(one, clock[0])
             for later, known in ((7.5, True), (9.0, False)):
                 clock[0] = 1000.0 + later
-                await made.persist([made.intend(ExternalOperation(f"vm-{later}", clock[0]))])
+                await made.persist([made.add_intent(ExternalOperation(f"vm-{later}", clock[0]))])
                 after = intent_log(service, 4)
                 await after.load()
                 found = after.rentals.get("t3-1")
@@ -338,7 +338,7 @@
         service = Service()
         service.value, service.version = value, 5
         made = intent_log(service)
-        await during(made, made.persist([made.intend(rental(1))]))
+        await during(made, made.persist([made.add_intent(rental(1))]))
         assert intent_record.decode(service.value).rentals[0].name == "t3-1"
 
     simulated(scenario())
--- a/tests/test_end_of_day.py
+++ b/tests/test_end_of_day.py
@@ -297,7 +297,7 @@
     name = machine_of(scene, "wk-1/0")
     worker = next(w for w in scene.cloud.workers() if w.entry["ref"] == name)
     old = {**worker.report(), "rig": "vm-000999", "baton": node.leader_term.term - 1}
-    assert node.election.leadership.entitled(host.monotonic_time())
+    assert node.election.leadership.has_valid_lease(host.monotonic_time())
     status, body = host.context.run(node.reports.handle, json.dumps(old).encode())  # type: ignore[misc]
     assert status == 200 and json.loads(body)["orders"] == [] and "vm-000999" not in node.leader_term.cluster.machines
     # One that lives learns the term from the answer, and is known by its next report.
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -66,7 +66,7 @@
     assert failure_attribution.job_is_suspect(job, 1.0) and all(
         failure_attribution.machine_is_faulty(m, 1.0) for m in bad
     )
-    failure_attribution.exonerate_jobs_on(bad[0], 1.0)
+    failure_attribution.clear_job_failures_on(bad[0], 1.0)
     assert not failure_attribution.job_is_suspect(job, 1.0) and job.retry_not_before == 1.0
 
 
@@ -157,8 +157,8 @@
     assert tracker.probe_allowance([TYPE], [*overdue, probe], [], now) == {("g4", "a"): 0}
     assert tracker.probe_allowance([TYPE], overdue, [("g4", "a")], now) == {("g4", "a"): 0}
     # One of the first that boots after all was late: it shows nothing.
-    assert not tracker.boot_completed(overdue[0], now) and tracker.failing_since
-    assert tracker.boot_completed(probe, now + TYPE.boot_s) and not tracker.failing_since
+    assert not tracker.record_boot(overdue[0], now) and tracker.failing_since
+    assert tracker.record_boot(probe, now + TYPE.boot_s) and not tracker.failing_since
     # Single late machines beside others that booted in time are no fault of the pool.
     assert not tracker.detect_failing_pools(overdue, now + 100)
 
@@ -189,10 +189,10 @@
     filled the cloud's capacity with machines that did not boot."""
     tracker, late = BootTracker(), [machine(f"vm-{i}", 0.0, MachineState.BOOTING, "ab"[i % 2]) for i in range(20)]
     assert {tracker.boot_timeout_s(m, [TYPE]) for m in late} == {constants.BOOT_TIMEOUT_RATIO * TYPE.boot_s}
-    assert not any(tracker.is_expected(m, [TYPE], 100.0) for m in late)
+    assert not any(tracker.is_boot_expected(m, [TYPE], 100.0) for m in late)
     tracker.detect_failing_pools(late, 100.0)
     assert tracker.all_pools_failing([TYPE]) and tracker.probe_allowance([TYPE], late, [], 100.0) == {}
-    assert all(tracker.is_expected(m, [TYPE], 100.0) for m in late)
+    assert all(tracker.is_boot_expected(m, [TYPE], 100.0) for m in late)
     assert {tracker.boot_timeout_s(m, [TYPE]) / TYPE.boot_s for m in late} == {
         constants.BOOT_TIMEOUT_RATIO,
         constants.FAILING_POOL_BOOT_TIMEOUT_RATIO,
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -44,7 +44,7 @@
         )
         apply_record(cluster, f"wk-{number}", 10 + number, record, -400.0)
     failure_detector = FailureDetector(cluster, WORKERS, 0.0, attended)
-    failure_detector.entitled_since = -300.0
+    failure_detector.leading_since = -300.0
     return cluster, failure_detector
 
 
@@ -110,7 +110,7 @@
     for name in cluster.machines:
         after.register_machine(name, "g4", name[3], False, LEASE_S, 0.0)
     later = FailureDetector(after, WORKERS, 0.0, "a")
-    later.entitled_since = LEASE_S
+    later.leading_since = LEASE_S
     for name in ("vm-a0", "vm-a1", "vm-a2", "vm-a3", "vm-a4", "vm-a5"):
         after.machines[name].last_heard = LEASE_S + constants.WORKER_FAILOVER_S
     # A worker on its way to the new leader is waited for; then what the leader before had heard last counts.
--- a/tests/test_finals.py
+++ b/tests/test_finals.py
@@ -241,13 +241,15 @@
     for recorded, state in itertools.product((JobState.DONE, JobState.CANCELLED), "odc"):
         record = msgspec.structs.replace(ended, state=state)
         if state == recorded.value:
-            condition, put = records.record_change("wk-1", 7, recorded, record)
+            condition, put = records.build_record_write("wk-1", 7, recorded, record)
             assert (condition.key, condition.version, put.value) == ("job/wk-1", 7, record)
         else:
             with pytest.raises(records.FinalStateViolation):
-                records.record_change("wk-1", 7, recorded, record)
+                records.build_record_write("wk-1", 7, recorded, record)
     with pytest.raises(records.InvalidRecord):
-        records.record_change("wk-1", 7, JobState.OPEN, msgspec.structs.replace(ended, state=JobState.ENDING.value))
+        records.build_record_write(
+            "wk-1", 7, JobState.OPEN, msgspec.structs.replace(ended, state=JobState.ENDING.value)
+        )
     # No other place makes one: each change of a job's record is built there.
     source = {path: path.read_text() for path in pathlib.Path("winglift").rglob("*.py")}
     assert [str(p) for p, text in source.items() if re.search(r"Put\((job_)?(records\.)?JOB", text)] == [
@@ -375,9 +377,9 @@
         play = Play("lost", "", 0.0, 0.5)
         assert not play.broken  # the one place where changes are made has refused it
         monkeypatch.setattr(records, "FinalStateViolation", type("Never", (Exception,), {}))
-    whole = records.record_change
+    whole = records.build_record_write
     monkeypatch.setattr(
-        records, "record_change", lambda ref, version, recorded, record: whole(ref, version, JobState.OPEN, record)
+        records, "build_record_write", lambda ref, version, recorded, record: whole(ref, version, JobState.OPEN, record)
     )
     play = Play("lost", "", 0.0, 0.5)
     assert bool(play.broken) is (guard == "the record goes first")
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -93,7 +93,7 @@
 def other_values() -> dict[str, Any]:
     """Keys, names and forms that are no messages of their own."""
     image_pages = image_cache_record.pack({"vm-000407": {"lens-7": 3.5, "fit-1": 0.125}}, 4096)
-    condition, put = records.record_change("wk-000412", 3, JobState.CANCELLED, examples.JOB_RECORD)
+    condition, put = records.build_record_write("wk-000412", 3, JobState.CANCELLED, examples.JOB_RECORD)
     return {
         "key: leader": records.LEADER_KEY,
         "key: term": records.TERM_KEY,
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -55,7 +55,7 @@
         elif op == "drain":
             machine.state = MachineState.DRAINING
         elif op == "image":
-            machine.remember_image(f"img-{number}", 6.0)
+            machine.track_image(f"img-{number}", 6.0)
         elif op == "stop" and machine.tasks:
             fleet.cluster.request_stop(next(iter(machine.tasks.values())), 2.0, fleet.now, "test")
         elif op == "strangers":
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -82,10 +82,10 @@
 
 def test_silence_during_an_outage_is_not_held_against_machines():
     made, deleted = leader(True, [(f"vm-{i}", "a", 960.0) for i in range(6)] + [("vm-9", "b", 999.9)])
-    made.failure_detector.entitled_since = 999.0
+    made.failure_detector.leading_since = 999.0
     check(made)
     assert deleted == []
-    made.failure_detector.entitled_since = 900.0
+    made.failure_detector.leading_since = 900.0
     made.cluster.machines["vm-0"].last_heard = 905.0
     check(made)
     assert deleted == ["vm-0"]
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -63,7 +63,7 @@
         leadership, client = leads(time.monotonic()), CloudClient("127.0.0.1", 1, settings().settings.cloud, 3)
         client._http = Http()  # type: ignore[assignment]
         client.set_leading(True)
-        client.may_change = lambda: leadership.entitled(time.monotonic())
+        client.may_change = lambda: leadership.has_valid_lease(time.monotonic())
         while client._budget.take(time.monotonic()):
             pass
         request = cloud_messages.RentRequest("t1-1", "g4", "a", False, 1)
--- a/tests/test_successors.py
+++ b/tests/test_successors.py
@@ -59,7 +59,7 @@
         self.failure_detector = FailureDetector(self.cluster, WORKERS, SKEW_S, "ab")
         self.began = began
         apply_record(self.cluster, "wk-1", 11, records.decode(value), self.steady(began))
-        self.failure_detector.entitled_since = self.steady(began)
+        self.failure_detector.leading_since = self.steady(began)
 
     def steady(self, true: float) -> float:
         return self.steady0 + true
@@ -160,7 +160,7 @@
     made.state = SimpleNamespace(health=lambda: Health.DOWN)
     made.peers.any_peer_reaches_state_service = lambda now: elsewhere
     made.duties.mark_ready(DutyName.PLACEMENT)
-    made.leadership.role, made.leadership.valid_until = Role.DOUBTFUL, 0.0
+    made.leadership.role, made.leadership.valid_until = Role.LEASE_IN_DOUBT, 0.0
     made.term = made.cluster.term = 3
     stop_commands: list[str] = []
     made.cluster.on_stop = lambda task: None
--- a/winglift/api/jobs.py
+++ b/winglift/api/jobs.py
@@ -169,7 +169,7 @@
 
     async def _commit_new(self, ref: str, record: records.JobRecord) -> tuple[int, StatusReply]:
         """Commit the record of a new job: 201, or 200 if a record of it exists. Raises TemporarilyUnavailable."""
-        condition, put = records.record_change(ref, 0, JobState.OPEN, record)
+        condition, put = records.build_record_write(ref, 0, JobState.OPEN, record)
         sent = monotonic_time()
         try:
             result = await self.state.commit(
@@ -220,7 +220,7 @@
             record.state = JobState.CANCELLED.value
             # Read before the commit, and so before the user is answered: any later leader counts cancel_s from it.
             record.cancelled_at = wall_time()
-            condition, put = records.record_change(ref, version, old_state, record)
+            condition, put = records.build_record_write(ref, version, old_state, record)
             try:
                 result = await self.state.commit(state_messages.Transaction([condition], [put]))
             except OutcomeUnknown:
--- a/winglift/cloud/inventory.py
+++ b/winglift/cloud/inventory.py
@@ -91,7 +91,7 @@
                 continue
             pool = max(self._unsent, key=lambda candidate: _count(self._unsent[candidate]))
             # From here on its request stays as it is: a name stands for one request, for ever.
-            operation = self.intent_log.intend(self._unsent.pop(pool))
+            operation = self.intent_log.add_intent(self._unsent.pop(pool))
             try:
                 # Recorded under the fence before it is sent: a successor repeats the name, and rents nothing twice.
                 await self.intent_log.persist([operation])
@@ -230,7 +230,7 @@
         """Delete a machine: nothing is placed there from now on, whether the call succeeds or not."""
         if machine.state is MachineState.DELETING or machine.name in self._to_delete:
             return
-        operation = self.intent_log.intend(ExternalOperation(machine.name, monotonic_time()))
+        operation = self.intent_log.add_intent(ExternalOperation(machine.name, monotonic_time()))
         # Deletions begun by an earlier term are logged in one line by the failover: most machines are gone already.
         log.log(
             logging.DEBUG if operation.inherited and not machine.tasks else logging.INFO,
--- a/winglift/controller/free_capacities.py
+++ b/winglift/controller/free_capacities.py
@@ -129,7 +129,7 @@
     def _booting_capacity(
         self, machine: Machine, mtype: MachineType, now: float
     ) -> policy_snapshot.FreeCapacity | None:
-        if not self.cluster.boot_tracker.is_expected(machine, self.types.values(), now):
+        if not self.cluster.boot_tracker.is_boot_expected(machine, self.types.values(), now):
             return None
         return policy_snapshot.FreeCapacity(
             machine.name,
--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -95,7 +95,7 @@
         lag_s = self.settings.settings.cloud.list_lag_s
         self.intent_log = IntentLog(state, limits, fence, lag_s, self._add_failover_hints)
         self.batcher = Batcher(state, limits, self.cluster, fence)
-        self.cluster.on_ending = self.batcher.schedule_flush
+        self.cluster.on_all_tasks_done = self.batcher.schedule_flush
         self.inventory = Inventory(cloud, self.cluster, lag_s, self.intent_log)
         self.image_cache_snapshots = ImageCacheSnapshots(state, limits, self.leadership, fence)
         self.garbage_collector = GarbageCollector(state, limits, self.duties)
@@ -219,7 +219,9 @@
 
     def handles_cancellation(self, ref: str) -> bool:
         """Does this leader know that the job is cancelled, and may it act?"""
-        if not self.loaded or not (self.leadership.entitled(monotonic_time()) or self.may_only_enforce_cancellations()):
+        if not self.loaded or not (
+            self.leadership.has_valid_lease(monotonic_time()) or self.may_only_enforce_cancellations()
+        ):
             return False
         job = self.cluster.jobs.get(ref)
         return job is None or job.state is JobState.CANCELLED
@@ -253,13 +255,13 @@
             return None if report.machine in self.cluster.deleted_machines else []
         if self.cluster.changed:
             self._pacer.wake()
-        entitled = self.leadership.entitled(now)
-        if not entitled and not self.may_only_enforce_cancellations():
+        has_valid_lease = self.leadership.has_valid_lease(now)
+        if not has_valid_lease and not self.may_only_enforce_cancellations():
             return []
         if report.token != self.term:
-            return commands if entitled else []
-        due = due_commands(self.cluster.machines[report.machine], report, now, cancelled_only=not entitled)
-        return commands + due if entitled else due
+            return commands if has_valid_lease else []
+        due = due_commands(self.cluster.machines[report.machine], report, now, cancelled_only=not has_valid_lease)
+        return commands + due if has_valid_lease else due
 
     def has_pending_starts(self, name: str) -> bool:
         """Are there starts that the answer to the machine's next report should carry?"""
@@ -295,15 +297,15 @@
 
     def _may_decide(self, now: float) -> bool:
         """Is this node entitled to decide? Records since when without a break; a pause of the process is a break."""
-        if not self.leadership.entitled(now) or now > self._next_pass + constants.PROCESS_PAUSE_MIN_S:
+        if not self.leadership.has_valid_lease(now) or now > self._next_pass + constants.PROCESS_PAUSE_MIN_S:
             # Reports wait unread in the sockets when a paused process resumes: that none was received does not show
             # that the workers were silent.
-            self.failure_detector.entitled_since = None
+            self.failure_detector.leading_since = None
         self._next_pass = now + constants.IDLE_CYCLE_INTERVAL_S
-        if not self.leadership.entitled(now):
+        if not self.leadership.has_valid_lease(now):
             return False
-        if self.failure_detector.entitled_since is None:
-            self.failure_detector.entitled_since = now
+        if self.failure_detector.leading_since is None:
+            self.failure_detector.leading_since = now
         return True
 
     def may_only_enforce_cancellations(self) -> bool:
@@ -313,7 +315,7 @@
         that cannot be reached. If it is wrong about the outage, that costs a machine and violates no invariant.
         """
         return (
-            self.leadership.role is Role.DOUBTFUL
+            self.leadership.role is Role.LEASE_IN_DOUBT
             and self.state.health() is Health.DOWN
             and not self.peers.any_peer_reaches_state_service(monotonic_time())
         )
--- a/winglift/duties/duty.py
+++ b/winglift/duties/duty.py
@@ -121,7 +121,7 @@
     def sync_with_lease(self) -> None:
         """Update all duties to the state of the lease."""
         leads = self.leadership.role is Role.LEADER and self.leadership.term == self.fence.term
-        in_doubt = self.leadership.role is Role.DOUBTFUL and self.leadership.term == self.fence.term
+        in_doubt = self.leadership.role is Role.LEASE_IN_DOUBT and self.leadership.term == self.fence.term
         event = DutyEvent.RENEW if leads else DutyEvent.OVERDUE if in_doubt else DutyEvent.LOSE
         for duty in self._all.values():
             duty.move(event)
@@ -134,10 +134,12 @@
     def may_act(self, name: DutyName, now: float) -> bool:
         """May this duty be carried out at steady time `now`? Asked after every wait, with the clock read anew.
 
-        `entitled` counts the lease from when its renewal was sent, by a clock that may be slow (CLOCK_DRIFT), and ends
-        it LEADER_LEASE_MARGIN_S early, to cover the time between this check and the sending.
+        `has_valid_lease` counts the lease from when its renewal was sent, by a clock that may be slow (CLOCK_DRIFT), and
+        ends it LEADER_LEASE_MARGIN_S early, to cover the time between this check and the sending.
         """
         duty = self._all[name]
         return (
-            duty.state is DutyState.HELD and self.leadership.term == self.fence.term and self.leadership.entitled(now)
+            duty.state is DutyState.HELD
+            and self.leadership.term == self.fence.term
+            and self.leadership.has_valid_lease(now)
         )
--- a/winglift/duties/garbage_collection.py
+++ b/winglift/duties/garbage_collection.py
@@ -47,8 +47,11 @@
 class Sweeper(Protocol):
     """Finds one kind of garbage."""
 
-    async def find(self, most: int) -> Iterable[Removal]:
-        """Removals that may be made now, each of at most `most` changes. Raises RequestRejected or OutcomeUnknown."""
+    async def find(self, max_changes: int) -> Iterable[Removal]:
+        """Removals that may be made now, each of at most `max_changes` changes.
+
+        Raises RequestRejected or OutcomeUnknown.
+        """
         ...
 
 
@@ -97,7 +100,7 @@
         self.state = state
         self.cluster = cluster
 
-    async def find(self, most: int) -> list[Removal]:
+    async def find(self, max_changes: int) -> list[Removal]:
         """One removal for each image cache record all of whose machines are gone."""
         items, _ = await self.state.list(image_cache_record.PREFIX)
         stale = [
@@ -105,4 +108,6 @@
             for item in items
             if not any(name in self.cluster.machines for name in image_cache_record.unpack([item.value]))
         ]
-        return [Removal("images of machines that are gone", ((item.key, item.version),)) for item in stale[:most]]
+        return [
+            Removal("images of machines that are gone", ((item.key, item.version),)) for item in stale[:max_changes]
+        ]
--- a/winglift/duties/intent_log.py
+++ b/winglift/duties/intent_log.py
@@ -116,7 +116,7 @@
 
     # -- writing -------------------------------------------------------------------------------
 
-    def intend(self, operation: ExternalOperation) -> ExternalOperation:
+    def add_intent(self, operation: ExternalOperation) -> ExternalOperation:
         """Add an operation without recording it yet; returns the one that is there if its name was added before."""
         operations = self.rentals if operation.request is not None else self.deletions
         return operations.setdefault(operation.name, operation)
--- a/winglift/flows/driver.py
+++ b/winglift/flows/driver.py
@@ -71,7 +71,7 @@
 
     def leadership(self) -> state_messages.Condition:
         # As every leader write, on the leadership key at its revision (invariant 1).
-        if not self.controller.leadership.entitled(monotonic_time()):
+        if not self.controller.leadership.has_valid_lease(monotonic_time()):
             raise RequestRejected("this node does not lead now")
         return self.controller.duties.fence.condition()
 
--- a/winglift/flows/run.py
+++ b/winglift/flows/run.py
@@ -299,7 +299,7 @@
                 )
             leader.near(part.ref, near or None)
             record = job_records.new_record(spec, now)
-            condition, put = job_records.record_change(part.ref, 0, JobState.OPEN, record)
+            condition, put = job_records.build_record_write(part.ref, 0, JobState.OPEN, record)
             revision = await self._commit([put], absent=condition.key)
             if revision is not None:
                 leader.take_job(part.ref, revision, record)
--- a/winglift/flows/sweep.py
+++ b/winglift/flows/sweep.py
@@ -18,7 +18,7 @@
         self.state = state
         self._next = 0.0
 
-    async def find(self, most: int) -> list[Removal]:
+    async def find(self, max_changes: int) -> list[Removal]:
         if monotonic_time() < self._next:
             return []
         found: list[Removal] = []
@@ -32,13 +32,15 @@
             over = head.state is FlowState.DONE or head.tidy
             if not over or head.swept or now - head.submitted < constants.GC_FLOW_STEP_RETENTION_S:
                 continue
-            found += await self._steps(item, head, most, now)
+            found += await self._steps(item, head, max_changes, now)
             if len(found) >= constants.GC_REMOVALS_MAX:
                 return found  # the rest at the next look
         self._next = monotonic_time() + constants.GC_FLOWS_INTERVAL_S
         return found
 
-    async def _steps(self, item: state_messages.Item, head: records.Head, most: int, now: float) -> list[Removal]:
+    async def _steps(
+        self, item: state_messages.Item, head: records.Head, max_changes: int, now: float
+    ) -> list[Removal]:
         ref = head.sub.ref
         steps, _ = await self.state.list(records.step_prefix(ref))
         for step in steps:
@@ -49,6 +51,8 @@
                 return []
         keys = [(step.key, step.version) for step in steps]
         if keys:
-            return [Removal(f"steps of {ref}", tuple(keys[i : i + most])) for i in range(0, len(keys), most)]
+            return [
+                Removal(f"steps of {ref}", tuple(keys[i : i + max_changes])) for i in range(0, len(keys), max_changes)
+            ]
         head.swept = True
         return [Removal(f"steps of {ref}", (), ((state_messages.Put(item.key, head), item.version),))]
--- a/winglift/model/boot_tracker.py
+++ b/winglift/model/boot_tracker.py
@@ -38,7 +38,7 @@
     # rental time of the latest rented machine that booted in time
     _latest_timely_rental: dict[CapacityPool, float] = field(default_factory=dict)
 
-    def boot_completed(self, machine: Machine, now: float) -> bool:
+    def record_boot(self, machine: Machine, now: float) -> bool:
         """Take in a machine's first report. True if it shows that the machine's failing pool has recovered."""
         pool = machine.type_name, machine.zone
         if now - machine.rented_at > usual_boot_s(machine):
@@ -86,7 +86,7 @@
             boot * (constants.FAILING_POOL_BOOT_TIMEOUT_RATIO if longer else constants.BOOT_TIMEOUT_RATIO),
         )
 
-    def is_expected(self, machine: Machine, types: Iterable[MachineType], now: float) -> bool:
+    def is_boot_expected(self, machine: Machine, types: Iterable[MachineType], now: float) -> bool:
         """Whether tasks may be planned onto this booting machine: not if overdue, where another would be ready sooner.
 
         With all pools failing, replacing every overdue machine filled the cloud's capacity with machines that did not
--- a/winglift/model/cancellations.py
+++ b/winglift/model/cancellations.py
@@ -161,12 +161,12 @@
         """
         commands = self.on_report(report, now)
         listed_jobs = {command.task.partition("/")[0] for command in commands}
-        for cancellation in self.on_machine(report.machine):
+        for cancellation in self.for_machine(report.machine):
             if cancellation.ref not in listed_jobs and cancellation.min_age_s(sent_at) >= self.settle_s:
                 self.clear_machine(cancellation.ref, report.machine, now)
         return commands
 
-    def on_machine(self, machine: str) -> list[Cancellation]:
+    def for_machine(self, machine: str) -> list[Cancellation]:
         """The cancellations that may have tasks on this machine."""
         return [cancellation for cancellation in self.by_job.values() if machine in cancellation.stop_commands]
 
@@ -178,11 +178,11 @@
                 self.unsent_proofs.append((ref, machine))
             self._confirm_if_clear(cancellation, now)
 
-    def machine_deleted(self, machine: str, now: float, proven_by_peer: bool = False) -> None:
+    def on_machine_deleted(self, machine: str, now: float, proven_by_peer: bool = False) -> None:
         """Apply that a machine's deletion was answered: all that was on it is gone."""
         if not proven_by_peer:
             self.unsent_proofs.append(("", machine))
-        for cancellation in self.on_machine(machine):
+        for cancellation in self.for_machine(machine):
             self.clear_machine(cancellation.ref, machine, now, proven_by_peer=True)
 
     def clear_job(self, ref: str, now: float) -> None:
--- a/winglift/model/cluster_state.py
+++ b/winglift/model/cluster_state.py
@@ -48,7 +48,9 @@
         self.superseded = False  # a record shows decisions of another leader
         self.on_stop: Callable[[Task], None] = lambda task: None
         self.on_urgent: Callable[[], None] = lambda: None  # an urgent job was added, or a replica lost
-        self.on_ending: Callable[[], None] = lambda: None  # all tasks of a job are done, which is to be recorded soon
+        self.on_all_tasks_done: Callable[[], None] = lambda: (
+            None
+        )  # all tasks of a job are done, which is to be recorded soon
 
     # -- assignments ---------------------------------------------------------------------------
 
@@ -199,7 +201,7 @@
         if machine.type is None:
             machine.type = self.types.get(type_name)
         for image, gb in self.inherited_images.pop(name, {}).items():
-            machine.remember_image(image, gb)
+            machine.track_image(image, gb)
         return machine
 
     # -- machines ------------------------------------------------------------------------------
--- a/winglift/model/entities.py
+++ b/winglift/model/entities.py
@@ -336,7 +336,7 @@
         """Whether tasks may be placed on it."""
         return self.state is MachineState.UP
 
-    def remember_image(self, image: str, gb: float) -> None:
+    def track_image(self, image: str, gb: float) -> None:
         """Track the worker's image cache, which keeps the most recently used images; `gb`: the image's size."""
         self.images[image] = gb
         self.images.move_to_end(image)
--- a/winglift/model/failure_attribution.py
+++ b/winglift/model/failure_attribution.py
@@ -46,7 +46,7 @@
     machine.attributed_failures[job] = machine.attributed_failures.get(job, 0) + 1
 
 
-def exonerate_jobs_on(machine: Machine, now: float) -> None:
+def clear_job_failures_on(machine: Machine, now: float) -> None:
     """Drop the failures on a faulty machine from its jobs; a job no longer suspect may be retried at once."""
     for job in machine.attributed_failures:
         was_suspect = job_is_suspect(job, now)
--- a/winglift/model/leadership.py
+++ b/winglift/model/leadership.py
@@ -14,7 +14,7 @@
     FOLLOWER = auto()
     CAMPAIGNING = auto()
     LEADER = auto()  # holds the lease and has loaded the records
-    DOUBTFUL = auto()  # led, but the lease may have run out by its own clock: no decisions
+    LEASE_IN_DOUBT = auto()  # led, but the lease may have run out by its own clock: no decisions
 
 
 class RoleEvent(Enum):
@@ -32,12 +32,12 @@
     (_R.FOLLOWER, _E.CAMPAIGN): _R.CAMPAIGNING,
     (_R.CAMPAIGNING, _E.WON): _R.LEADER,
     (_R.CAMPAIGNING, _E.LOST): _R.FOLLOWER,
-    (_R.LEADER, _E.OVERDUE): _R.DOUBTFUL,
+    (_R.LEADER, _E.OVERDUE): _R.LEASE_IN_DOUBT,
     (_R.LEADER, _E.RENEWED): _R.LEADER,
-    (_R.DOUBTFUL, _E.RENEWED): _R.LEADER,
-    (_R.DOUBTFUL, _E.OVERDUE): _R.DOUBTFUL,
+    (_R.LEASE_IN_DOUBT, _E.RENEWED): _R.LEADER,
+    (_R.LEASE_IN_DOUBT, _E.OVERDUE): _R.LEASE_IN_DOUBT,
     (_R.LEADER, _E.LOST): _R.FOLLOWER,
-    (_R.DOUBTFUL, _E.LOST): _R.FOLLOWER,
+    (_R.LEASE_IN_DOUBT, _E.LOST): _R.FOLLOWER,
     (_R.FOLLOWER, _E.LOST): _R.FOLLOWER,
 }
 
@@ -63,6 +63,6 @@
             self.valid_until, sent_at + ttl_s * (1 - 2 * constants.CLOCK_DRIFT) - constants.LEADER_LEASE_MARGIN_S
         )
 
-    def entitled(self, now: float) -> bool:
+    def has_valid_lease(self, now: float) -> bool:
         """Whether this node may decide and send commands now (invariant 1)."""
         return self.role is Role.LEADER and now < self.valid_until
--- a/winglift/model/records.py
+++ b/winglift/model/records.py
@@ -69,7 +69,7 @@
 _decoder = msgspec.json.Decoder(JobRecord)
 
 
-def record_change(ref: str, version: int, committed: JobState, record: JobRecord) -> tuple[Condition, Put]:
+def build_record_write(ref: str, version: int, committed: JobState, record: JobRecord) -> tuple[Condition, Put]:
     """Condition and put of a change of a job's record, whose state is `committed` at `version` (0: it is new).
 
     Changes are made nowhere else: no transaction can be built that replaces a recorded final state by another
--- a/winglift/model/report_reconciliation.py
+++ b/winglift/model/report_reconciliation.py
@@ -112,7 +112,7 @@
     """Move a machine to UP on its first report under this term."""
     if machine.state not in (MachineState.BOOTING, MachineState.INHERITED):
         return
-    if machine.state is MachineState.BOOTING and cluster.boot_tracker.boot_completed(machine, now):
+    if machine.state is MachineState.BOOTING and cluster.boot_tracker.record_boot(machine, now):
         log.info("machine %s: booted in time, capacity pool recovered, zone=%s", machine.name, machine.zone)
     machine.move(MachineEvent.REPORT)
     machine.idle_since = now
--- a/winglift/model/task_reconciliation.py
+++ b/winglift/model/task_reconciliation.py
@@ -55,7 +55,7 @@
             task.state.name,
         )
         if task.state in (TaskState.RUNNING, TaskState.WAITING):
-            machine.remember_image(job.spec.image, job.spec.image_gb)
+            machine.track_image(job.spec.image, job.spec.image_gb)
         if task.state is TaskState.RUNNING:
             job.gang_started = True
     if not job.is_open and not task.stopping and job.state is JobState.CANCELLED:
@@ -113,7 +113,7 @@
     if job.done.complete() and job.is_open:
         job.move(JobEvent.COMPLETE)
         job.request_write(WritePriority.URGENT)
-        cluster.on_ending()
+        cluster.on_all_tasks_done()
         log.debug("job %s: all tasks done", job.ref)
     cluster.release(task, now)
     for name in list(job.failed_on):
@@ -168,7 +168,7 @@
         log.info(
             "machine %s: faulty, draining, failed_tasks=%d", machine.name, sum(machine.attributed_failures.values())
         )
-        failure_attribution.exonerate_jobs_on(machine, now)
+        failure_attribution.clear_job_failures_on(machine, now)
         machine.drain_reason = "faulty"
         machine.move(MachineEvent.DRAIN)
         cluster.changed = True
--- a/winglift/node.py
+++ b/winglift/node.py
@@ -111,7 +111,7 @@
     def _own_state(self) -> peer_messages.PeerState:
         """What this node tells its peers about itself."""
         # A leader in doubt still counts as one: from the reports that others forward it learns who is alive.
-        leads = self.leader_term is not None and self.election.leadership.role in (Role.LEADER, Role.DOUBTFUL)
+        leads = self.leader_term is not None and self.election.leadership.role in (Role.LEADER, Role.LEASE_IN_DOUBT)
         return peer_messages.PeerState(self.known_term(), leads, self.state.health() is Health.GOOD, self.settings.node)
 
     def known_term(self) -> int:
@@ -162,7 +162,7 @@
 
     def _on_peer_state(self, state: peer_messages.PeerState) -> None:
         leadership = self.election.leadership
-        if leadership.role in (Role.LEADER, Role.DOUBTFUL) and state.term > leadership.term:
+        if leadership.role in (Role.LEADER, Role.LEASE_IN_DOUBT) and state.term > leadership.term:
             self.election.step_down(f"{state.node} knows term {state.term}")
 
     def _on_peer_gone(self, node: str) -> None:
--- a/winglift/policy/failure_detector.py
+++ b/winglift/policy/failure_detector.py
@@ -46,7 +46,7 @@
         self.cluster = cluster
         self.workers = workers
         self.skew_s = skew_s  # how far a node's time of day may be from the true one
-        self.entitled_since: float | None = None  # since when this node leads without a doubt or a standstill
+        self.leading_since: float | None = None  # since when this node leads without a doubt or a standstill
         self.zones_with_controllers = frozenset(attended)
         self._reachability = ZoneReachability(cluster, workers)
 
@@ -191,7 +191,7 @@
         alive through an outage of 37 s were deleted in the moment it ended. In a zone that is partitioned from all
         nodes it goes on: no node could have kept anything alive.
         """
-        since = self.entitled_since or 0.0
+        since = self.leading_since or 0.0
         partitioned_from_all = (
             machine.zone in self.unreachable_zones
             and machine.zone not in self.zones_with_controllers
@@ -206,7 +206,7 @@
 
     def _unresponsive_and_empty(self, machine: Machine, now: float) -> str | None:
         """The reason to delete a machine that reports, but does not receive, and runs nothing."""
-        since = self.entitled_since or 0.0
+        since = self.leading_since or 0.0
         if (
             machine.state is MachineState.UNRESPONSIVE
             and not machine.tasks
@@ -257,7 +257,7 @@
 
         Most machines have long stopped their cancelled tasks, and only the record lags.
         """
-        since = self.entitled_since or 0.0
+        since = self.leading_since or 0.0
         heard = machine.last_heard is not None and machine.last_heard >= since
         timeout_s = constants.CANCELLATION_REPORT_WAIT_RATIO * self.workers.report_s
         return not heard and now - max(since, machine.known_since) < timeout_s
--- a/winglift/store/batcher.py
+++ b/winglift/store/batcher.py
@@ -150,7 +150,7 @@
                 break
             due.pop(0)
             try:
-                condition, put = records.record_change(job.ref, job.version, job.committed_state, record)
+                condition, put = records.build_record_write(job.ref, job.version, job.committed_state, record)
             except records.FinalStateViolation as err:
                 log.error("job record: not written, it is final: error=%s", err)
                 job.pending_write = WritePriority.NONE
--- a/winglift/store/election.py
+++ b/winglift/store/election.py
@@ -49,7 +49,7 @@
         """Follow, campaign or renew, for as long as the node runs."""
         while True:
             try:
-                if self.leadership.role in (Role.LEADER, Role.DOUBTFUL):
+                if self.leadership.role in (Role.LEADER, Role.LEASE_IN_DOUBT):
                     await self._renew()
                 else:
                     await self._follow()
@@ -74,9 +74,9 @@
             self.check_lease()
             await asyncio.sleep(RENEWAL_RETRY_S)
             return
-        if self.leadership.role in (Role.LEADER, Role.DOUBTFUL):
+        if self.leadership.role in (Role.LEADER, Role.LEASE_IN_DOUBT):
             self.leadership.extend_lease(sent, constants.LEADER_LEASE_S)
-            if self.leadership.role is Role.DOUBTFUL:
+            if self.leadership.role is Role.LEASE_IN_DOUBT:
                 log.info("election: leading again, lease renewed: term=%d", self.leadership.term)
             self.leadership.move(RoleEvent.RENEWED)
         await asyncio.sleep(max(RENEWAL_PAUSE_MIN_S, constants.LEADER_RENEWAL_INTERVAL_S - (monotonic_time() - sent)))
--- a/winglift/store/image_cache_snapshots.py
+++ b/winglift/store/image_cache_snapshots.py
@@ -57,7 +57,7 @@
     async def _write(self, records: dict[str, bytes]) -> None:
         keys = list(records)
         try:
-            while keys and self.leadership.entitled(monotonic_time()):
+            while keys and self.leadership.has_valid_lease(monotonic_time()):
                 # A few records at a time, and only from the budget that starts and users leave over.
                 most = min(
                     int(self.state.available_writes() - self.limits.write_rps * constants.PROGRESS_SPARE_WRITES_SHARE),
--- a/winglift/workers/cancellation_enforcement.py
+++ b/winglift/workers/cancellation_enforcement.py
@@ -125,7 +125,7 @@
             if ref:
                 self.cancellations.clear_machine(ref, machine, now, proven_by_peer=True)
             else:
-                self.cancellations.machine_deleted(machine, now, proven_by_peer=True)
+                self.cancellations.on_machine_deleted(machine, now, proven_by_peer=True)
         deleted = [machine for ref, machine in proofs if not ref]
         if deleted:
             self.node.on_machines_deleted(deleted)
@@ -266,7 +266,7 @@
         try:
             stop_commands = [
                 stop
-                for cancellation in self.cancellations.on_machine(machine)
+                for cancellation in self.cancellations.for_machine(machine)
                 for stop in cancellation.stop_commands[machine]
             ]
             # Its last report may be of an earlier session, or it knows a higher term: it is commanded once more then.
@@ -318,7 +318,7 @@
             return
         now = monotonic_time()
         for name in names:
-            self.cancellations.machine_deleted(name, now)
+            self.cancellations.on_machine_deleted(name, now)
         self.node.on_machines_deleted(names)
 
     async def _reread(self, now: float, wall: float) -> None:
--- a/winglift/workers/commands.py
+++ b/winglift/workers/commands.py
@@ -87,7 +87,7 @@
         tasks = self._queue.pop(machine.name, [])
         if not machine.addr or not machine.session:
             return
-        if not self.leadership.entitled(monotonic_time()):
+        if not self.leadership.has_valid_lease(monotonic_time()):
             if not self._may_only_enforce_cancellations():
                 return
             tasks = [task for task in tasks if task.job.state is JobState.CANCELLED]
--- a/winglift/workers/probes.py
+++ b/winglift/workers/probes.py
@@ -87,7 +87,7 @@
                 .request("GET", "/show", None, constants.PROBE_TIMEOUT_S)
             )
             if reply.status == 200:
-                if self.leadership.entitled(monotonic_time()):
+                if self.leadership.has_valid_lease(monotonic_time()):
                     reconcile_report(
                         self.cluster, worker_messages.parse_report(reply.body), monotonic_time(), direct=True
                     )
