--- a/winglift/constants.py
+++ b/winglift/constants.py
@@ -273,7 +273,7 @@
 EXPRESSION_CONTEXTS_MAX = 8  # JavaScript contexts kept, one per library
 FLOW_CYCLE_INTERVAL_S = 0.3  # s between two passes of the driver over its workflows
 FLOW_OPEN_JOBS_MAX = 100  # jobs of one workflow open at a time: a wide workflow leaves the budget to others
-FLOW_TASKS_PER_UPLOAD_MAX = 50  # tasks described in one upload, so that a task's worker fetches little else
+FLOW_UPLOAD_TASKS = 50  # tasks described in one upload, so that a task's worker fetches little else
 FLOW_INLINE_OUTPUT_MAX_BYTES = 1024  # bytes; smaller outputs are stored in the step's record itself
 # Machines on which a command must fail until its step has failed: one failure may be the machine's.
 FLOW_STEP_FAILED_MACHINES = 2  # machines
--- a/winglift/duties/duty.py
+++ b/winglift/duties/duty.py
@@ -134,8 +134,8 @@
     def may_act(self, name: DutyName, now: float) -> bool:
         """May this duty be carried out at steady time `now`? Asked after every wait, with the clock read anew.
 
-        `has_valid_lease` counts the lease from when its renewal was sent, by a clock that may be slow (CLOCK_DRIFT), and
-        ends it LEADER_LEASE_MARGIN_S early, to cover the time between this check and the sending.
+        `has_valid_lease` counts the lease from when its renewal was sent, by a clock that may be slow (CLOCK_DRIFT),
+        and ends it LEADER_LEASE_MARGIN_S early, to cover the time between this check and the sending.
         """
         duty = self._all[name]
         return (
--- a/winglift/flows/files.py
+++ b/winglift/flows/files.py
@@ -1,7 +1,7 @@
 """Client of the store of uploads: contents by their SHA-256, descriptions of tasks, what tasks left.
 
 PUT, GET /blobs/{sha256}             a content
-PUT, GET /tasks/{job}/{page}         FLOW_TASKS_PER_UPLOAD_MAX descriptions each; only the first upload counts
+PUT, GET /tasks/{job}/{page}         FLOW_UPLOAD_TASKS descriptions each; only the first upload counts
 GET /results/{job}?after=N           what tasks left that succeeded, in pages
 GET /results/{job}?failed=1          what attempts left that failed
 """
--- a/winglift/flows/run.py
+++ b/winglift/flows/run.py
@@ -193,8 +193,6 @@
         await self._write_head(head)
         log.info("%s: %s%s", self.ref, state.value, f": {cause}" if cause else "")
 
-    # -- steps ---------------------------------------------------------------------------------
-
     async def step(self) -> None:
         """One look: steps that are ready are submitted, ended ones recorded. Raises FlowError where it must fail."""
         assert self.engine is not None
@@ -291,11 +289,11 @@
             for content in {d: b for made in part.made for d, b in made.blobs.items()}.values():
                 await leader.files.put(content)
             works = [made.work for made in part.made]
-            for page in range(0, len(works), constants.FLOW_TASKS_PER_UPLOAD_MAX):
+            for page in range(0, len(works), constants.FLOW_UPLOAD_TASKS):
                 await leader.files.describe(
                     part.ref,
-                    page // constants.FLOW_TASKS_PER_UPLOAD_MAX,
-                    works[page : page + constants.FLOW_TASKS_PER_UPLOAD_MAX],
+                    page // constants.FLOW_UPLOAD_TASKS,
+                    works[page : page + constants.FLOW_UPLOAD_TASKS],
                 )
             leader.near(part.ref, near or None)
             record = job_records.new_record(spec, now)
@@ -311,8 +309,6 @@
             if (there.team, there.tasks, there.image) != (spec.team, spec.tasks, spec.image):
                 raise FlowError(f"{leaf.path}: the id {part.ref} belongs to another job")
 
-    # -- ends ----------------------------------------------------------------------------------
-
     async def _look(self, found: Open) -> None:
         """Has a step ended?"""
         ended = 0
