--- a/tests/test_cwl.py
+++ b/tests/test_cwl.py
@@ -11,7 +11,7 @@
 import pytest
 from flow_world import flow_world
 
-from winglift.cwl.errors import CwlError, Unsupported
+from winglift.cwl.errors import CwlError, UnsupportedFeature
 from winglift.cwl.load import check
 
 CWL = pathlib.Path(__file__).parent / "cwl"
@@ -97,11 +97,11 @@
     ("bad_endless", CwlError, r"bad_endless\.cwl:7: .*did not end within 0\.5 s"),
     ("bad_script", CwlError, r"bad_script\.cwl:6: .*SyntaxError"),
     ("bad_name", CwlError, r"bad_name\.cwl:5: .*no input lense"),
-    ("left_secondary", Unsupported, r"left_secondary\.cwl:6: secondaryFiles"),
-    ("left_shell", Unsupported, r"left_shell\.cwl:5: ShellCommandRequirement"),
-    ("left_schemas", Unsupported, r"left_schemas\.cwl:3: \$schemas"),
-    ("left_outside", Unsupported, r"left_outside\.cwl:7: run: https://elsewhere"),
-    ("left_version", Unsupported, r"left_version\.cwl:1: cwlVersion v1\.0"),
+    ("left_secondary", UnsupportedFeature, r"left_secondary\.cwl:6: secondaryFiles"),
+    ("left_shell", UnsupportedFeature, r"left_shell\.cwl:5: ShellCommandRequirement"),
+    ("left_schemas", UnsupportedFeature, r"left_schemas\.cwl:3: \$schemas"),
+    ("left_outside", UnsupportedFeature, r"left_outside\.cwl:7: run: https://elsewhere"),
+    ("left_version", UnsupportedFeature, r"left_version\.cwl:1: cwlVersion v1\.0"),
 ]
 
 
@@ -118,7 +118,7 @@
         ("n: many\nf: {class: File, path: table.txt}\n", r"order\.yml:1: n: expected int"),
         ("n: 1\nf: {class: File, path: nowhere.txt}\n", r"order\.yml:2: .*nowhere\.txt: No such file"),
         ("n: 1\n", r"order\.yml: no value for f, File"),
-        ("n: 1\nf: {class: File, path: https://elsewhere.example/t}\n", r"order\.yml:2: .*lies elsewhere"),
+        ("n: 1\nf: {class: File, path: https://elsewhere.example/t}\n", r"order\.yml:2: .*not a local file"),
         ("n: 1\nm: 2\nf: {class: File, contents: x}\n", r"order\.yml:2: no such input m"),
         ("n: [1\n", r"order\.yml:\d: not YAML"),
     ],
--- a/winglift/cli/flow.py
+++ b/winglift/cli/flow.py
@@ -37,12 +37,12 @@
 
 def read(plan: str, order: str | None):  # type: ignore[no-untyped-def]
     """The checked files, or an exit code."""
-    from ..cwl.errors import CwlError, Unsupported
+    from ..cwl.errors import CwlError, UnsupportedFeature
     from ..cwl.load import check
 
     try:
         return check(plan, order)
-    except Unsupported as err:
+    except UnsupportedFeature as err:
         print(f"winglift: unsupported: {err}", file=sys.stderr)
         return UNSUPPORTED
     except CwlError as err:
--- a/winglift/cwl/__init__.py
+++ b/winglift/cwl/__init__.py
@@ -1,1 +1,1 @@
-"""CWL files read, checked and made into plans: on the client's side, without network access."""
+"""Reads CWL files, checks them and converts them to plans. Runs in the client and accesses no network."""
--- a/winglift/cwl/convert.py
+++ b/winglift/cwl/convert.py
@@ -1,4 +1,4 @@
-"""A parsed document as a plan."""
+"""Converts parsed documents to plans."""
 
 from __future__ import annotations
 
@@ -10,194 +10,236 @@
 from schema_salad.exceptions import SchemaSaladException
 
 from ..wire import flows as flow_messages
-from .errors import CwlError, Place, Unsupported, said
-from .needs import Needs, image, initial, own_hints, resources, time_limit, variables
-from .order import Resolver
-from .types import LEFT, binding, inner_bindings, is_cwl, kind, plain, refuse, short
+from .errors import CwlError, SourceLocator, UnsupportedFeature, validation_message
+from .order import FileResolver
+from .requirements import (
+    Requirements,
+    container_image,
+    environment_variables,
+    initial_work_dir,
+    requested_resources,
+    time_limit,
+    winglift_hints,
+)
+from .types import (
+    UNSUPPORTED_FIELDS,
+    convert_binding,
+    convert_inner_bindings,
+    convert_type,
+    is_process,
+    reject_features,
+    short_name,
+    to_plain_data,
+)
 
 
 class Converter:
-    def __init__(self, file: str, place: Place, resolver: Resolver) -> None:
+    """Converts one document, and the processes that its steps run, to a plan. `file` is the document's file."""
+
+    def __init__(self, file: str, locator: SourceLocator, resolver: FileResolver) -> None:
         self.processes: dict[str, flow_messages.Process] = {}
-        self.sources: dict[str, str] = {}  # process: the file in which it stands
-        self._scripts: set[str] = set()  # workflows of which a step asks for JavaScript
-        self._place = place
+        self.source_files: dict[str, str] = {}  # key of a process: the file that contains it
+        self._workflows_with_javascript: set[str] = set()  # keys of workflows with a step that requires JavaScript
+        self._locator = locator
         self._resolver = resolver
-        self._main = file
+        self._main_file = file
 
-    def plan(self, document: Any) -> flow_messages.Plan:
-        """The whole; a lone tool becomes a workflow of one step."""
-        self.process(document, "main", Needs(), self._main)
+    def convert(self, document: Any) -> flow_messages.Plan:
+        """Converts the whole document; a single tool becomes a workflow of one step."""
+        self.convert_process(document, "main", Requirements(), self._main_file)
         main = self.processes["main"]
         if not isinstance(main, flow_messages.Workflow):
             self.processes = {"tool": main}
-            self.sources["tool"] = self.sources.pop("main")
-            names = [p.name for p in main.inputs]
+            self.source_files["tool"] = self.source_files.pop("main")
+            input_names = [p.name for p in main.inputs]
             self.processes["main"] = flow_messages.Workflow(
                 inputs=[flow_messages.Param(p.name, p.type, p.default) for p in main.inputs],
                 outputs=[flow_messages.FlowOutput(o.name, o.type, [f"run/{o.name}"]) for o in main.outputs],
                 steps=[
                     flow_messages.Step(
-                        "run", "tool", [flow_messages.StepInput(n, [n]) for n in names], [o.name for o in main.outputs]
+                        "run",
+                        "tool",
+                        [flow_messages.StepInput(n, [n]) for n in input_names],
+                        [o.name for o in main.outputs],
                     )
                 ],
             )
-            self.sources["main"] = self._main
+            self.source_files["main"] = self._main_file
         return flow_messages.Plan("main", self.processes)
 
-    def process(self, document: Any, key: str, needs: Needs, file: str) -> None:
-        if not is_cwl(document):
-            raise Unsupported(f"{self._place.at(file, 'class')}: class {getattr(document, 'class_', document)}")
+    def convert_process(self, document: Any, key: str, requirements: Requirements, file: str) -> None:
+        """Adds a process, and those that its steps run, to `processes` under `key`."""
+        if not is_process(document):
+            raise UnsupportedFeature(
+                f"{self._locator.locate(file, 'class')}: class {getattr(document, 'class_', document)}"
+            )
         if document.id and document.id.startswith("file://"):
             file = unquote(urlparse(document.id).path)
 
-        def place(*tokens: str) -> str:
-            return self._place.at(file, *tokens)
+        def locate(*tokens: str) -> str:
+            return self._locator.locate(file, *tokens)
 
-        self.sources[key] = file
-        inside = needs.under(document, place)
+        self.source_files[key] = file
+        process_requirements = requirements.combined_with(document, locate)
         if isinstance(document, cwl.CommandLineTool):
-            self.processes[key] = self._tool(document, inside, place, file)
+            self.processes[key] = self._convert_tool(document, process_requirements, locate, file)
         elif isinstance(document, cwl.ExpressionTool):
             self.processes[key] = flow_messages.Expression(
-                [self._param(p, place, file) for p in document.inputs],
-                [flow_messages.Output(short(o.id), kind(o.type_, place(short(o.id)))) for o in document.outputs],
+                [self._convert_param(p, locate, file) for p in document.inputs],
+                [
+                    flow_messages.Output(short_name(o.id), convert_type(o.type_, locate(short_name(o.id))))
+                    for o in document.outputs
+                ],
                 document.expression,
-                inside.javascript,
-                inside.library,
+                process_requirements.javascript,
+                process_requirements.library,
             )
         else:
-            self.processes[key] = self._workflow(document, key, inside, place, file)
-
-    def _param(self, param: Any, place: Any, file: str) -> flow_messages.Param:
-        name = short(param.id)
-        where = place("inputs", name)
-        refuse(param, (*LEFT, "loadListing"), place, "inputs", name)
-        found = "File" if param.type_ == "stdin" else param.type_
-        items, fields = inner_bindings(found, where)
-        shown = getattr(param, "inputBinding", None)
-        load = bool(getattr(param, "loadContents", None) or getattr(shown, "loadContents", None))
-        default = None if param.default is None else self._resolver.value(plain(param.default), file, where)
-        made = binding(shown, where)
-        return flow_messages.Param(name, kind(found, where), default, made, items, fields, load)
+            self.processes[key] = self._convert_workflow(document, key, process_requirements, locate, file)
+
+    def _convert_param(self, param: Any, locate: Any, file: str) -> flow_messages.Param:
+        name = short_name(param.id)
+        source_line = locate("inputs", name)
+        reject_features(param, (*UNSUPPORTED_FIELDS, "loadListing"), locate, "inputs", name)
+        param_type = "File" if param.type_ == "stdin" else param.type_
+        items, fields = convert_inner_bindings(param_type, source_line)
+        input_binding = getattr(param, "inputBinding", None)
+        load_contents = bool(getattr(param, "loadContents", None) or getattr(input_binding, "loadContents", None))
+        default = (
+            None if param.default is None else self._resolver.resolve(to_plain_data(param.default), file, source_line)
+        )
+        binding = convert_binding(input_binding, source_line)
+        return flow_messages.Param(
+            name, convert_type(param_type, source_line), default, binding, items, fields, load_contents
+        )
 
     # -- tools ---------------------------------------------------------------------------------
 
-    def _tool(self, tool: Any, needs: Needs, place: Any, file: str) -> flow_messages.Tool:
-        refuse(tool, ("temporaryFailCodes", "permanentFailCodes"), place)
-        hints, gpus = own_hints(tool, place)
+    def _convert_tool(self, tool: Any, requirements: Requirements, locate: Any, file: str) -> flow_messages.Tool:
+        reject_features(tool, ("temporaryFailCodes", "permanentFailCodes"), locate)
+        hints, gpus = winglift_hints(tool, locate)
         stdin = tool.stdin
         for param in tool.inputs:
             if param.type_ == "stdin":
-                stdin = f"$(inputs.{short(param.id)}.path)"
+                stdin = f"$(inputs.{short_name(param.id)}.path)"
         streams = {"stdout": tool.stdout, "stderr": tool.stderr}
         outputs = []
         for out in tool.outputs:
-            name = short(out.id)
-            where = place("outputs", name)
-            refuse(out, LEFT, place, "outputs", name)
+            name = short_name(out.id)
+            source_line = locate("outputs", name)
+            reject_features(out, UNSUPPORTED_FIELDS, locate, "outputs", name)
             if isinstance(out.type_, str) and out.type_ in streams:
                 streams[out.type_] = streams[out.type_] or f"{name}.{out.type_}"
                 outputs.append(flow_messages.Output(name, "File", [streams[out.type_]]))
                 continue
-            shown = out.outputBinding
-            globs = [] if shown is None or shown.glob is None else shown.glob
-            refuse(shown, ("loadListing",), place, "outputs", name)
+            output_binding = out.outputBinding
+            globs = [] if output_binding is None or output_binding.glob is None else output_binding.glob
+            reject_features(output_binding, ("loadListing",), locate, "outputs", name)
             outputs.append(
                 flow_messages.Output(
                     name,
-                    kind(out.type_, where),
+                    convert_type(out.type_, source_line),
                     [globs] if isinstance(globs, str) else list(globs),
-                    bool(shown is not None and shown.loadContents),
-                    None if shown is None else shown.outputEval,
+                    bool(output_binding is not None and output_binding.loadContents),
+                    None if output_binding is None else output_binding.outputEval,
                 )
             )
-        base = tool.baseCommand or []
+        base_command = tool.baseCommand or []
         arguments = [
-            flow_messages.Binding(value_from=a) if isinstance(a, str) else binding(a, place("arguments"))
+            flow_messages.Binding(value_from=a) if isinstance(a, str) else convert_binding(a, locate("arguments"))
             for a in tool.arguments or []
         ]
         return flow_messages.Tool(
-            inputs=[self._param(p, place, file) for p in tool.inputs],
+            inputs=[self._convert_param(p, locate, file) for p in tool.inputs],
             outputs=outputs,
-            base=[base] if isinstance(base, str) else list(base),
+            base=[base_command] if isinstance(base_command, str) else list(base_command),
             arguments=[a for a in arguments if a is not None],
             stdin=stdin,
             stdout=streams["stdout"],
             stderr=streams["stderr"],
             success=list(tool.successCodes or [0]),
-            env=variables(needs),
-            staged=initial(needs, place),
+            env=environment_variables(requirements),
+            staged=initial_work_dir(requirements, locate),
             gpus=gpus if gpus is not None else 0.0,
-            time_s=time_limit(needs),
-            image=image(needs, place),
-            javascript=needs.javascript,
-            library=needs.library,
+            time_s=time_limit(requirements),
+            image=container_image(requirements, locate),
+            javascript=requirements.javascript,
+            library=requirements.library,
             hints=hints,
-            **resources(needs, place),
+            **requested_resources(requirements, locate),
         )
 
     # -- workflows -----------------------------------------------------------------------------
 
-    def _workflow(self, flow: Any, key: str, needs: Needs, place: Any, file: str) -> flow_messages.Workflow:
-        hints, _ = own_hints(flow, place)
+    def _convert_workflow(
+        self, flow: Any, key: str, requirements: Requirements, locate: Any, file: str
+    ) -> flow_messages.Workflow:
+        hints, _ = winglift_hints(flow, locate)
         steps = []
         for step in flow.steps:
-            steps.append(self._step(flow, step, key, needs, place, file))
-        known = {short(p.id) for p in flow.inputs} | {f"{s.name}/{o}" for s in steps for o in s.outputs}
+            steps.append(self._convert_step(flow, step, key, requirements, locate, file))
+        known_sources = {short_name(p.id) for p in flow.inputs} | {f"{s.name}/{o}" for s in steps for o in s.outputs}
         outputs = []
         for out in flow.outputs:
-            name = short(out.id)
-            refuse(out, LEFT, place, "outputs", name)
-            source = links(out.outputSource, flow.id)
+            name = short_name(out.id)
+            reject_features(out, UNSUPPORTED_FIELDS, locate, "outputs", name)
+            source = source_names(out.outputSource, flow.id)
             outputs.append(
                 flow_messages.FlowOutput(
                     name,
-                    kind(out.type_, place("outputs", name)),
+                    convert_type(out.type_, locate("outputs", name)),
                     source,
                     isinstance(out.outputSource, list),
                     out.linkMerge or "merge_nested",
                     out.pickValue,
                 )
             )
-            check_links(source, known, place("outputs", name), name)
+            check_links(source, known_sources, locate("outputs", name), name)
         for step in steps:
             for sink in step.inputs:
-                check_links(sink.source, known, place("steps", step.name, sink.name), f"{step.name}/{sink.name}")
+                check_links(
+                    sink.source, known_sources, locate("steps", step.name, sink.name), f"{step.name}/{sink.name}"
+                )
         return flow_messages.Workflow(
-            [self._param(p, place, file) for p in flow.inputs],
+            [self._convert_param(p, locate, file) for p in flow.inputs],
             outputs,
             steps,
-            needs.javascript or key in self._scripts,
-            needs.library,
+            requirements.javascript or key in self._workflows_with_javascript,
+            requirements.library,
             hints,
         )
 
-    def _step(self, flow: Any, step: Any, key: str, needs: Needs, place: Any, file: str) -> flow_messages.Step:
-        name = short(step.id)
+    def _convert_step(
+        self, flow: Any, step: Any, key: str, requirements: Requirements, locate: Any, file: str
+    ) -> flow_messages.Step:
+        name = short_name(step.id)
 
-        def here(*tokens: str) -> str:
-            return place("steps", name, *tokens)
+        def locate_in_step(*tokens: str) -> str:
+            return locate("steps", name, *tokens)
 
-        inside = needs.under(step, here)
-        hints, _ = own_hints(step, here)
-        if inside.javascript:
-            self._scripts.add(key)
-        target = f"{key}/{name}"
+        step_requirements = requirements.combined_with(step, locate_in_step)
+        hints, _ = winglift_hints(step, locate_in_step)
+        if step_requirements.javascript:
+            self._workflows_with_javascript.add(key)
+        process_key = f"{key}/{name}"
         if isinstance(step.run, str):
             try:
                 step.run = load_document_by_uri(step.run, load_all=False)
             except SchemaSaladException as err:
-                raise CwlError(said(err, unquote(urlparse(step.run).path))) from None
-        self.process(step.run, target, inside.step(), file)
+                raise CwlError(validation_message(err, unquote(urlparse(step.run).path))) from None
+        self.convert_process(step.run, process_key, step_requirements.inherited_by_process(), file)
         inputs = []
         for sink in step.in_:
-            refuse(sink, ("loadListing",), here)
-            default = None if sink.default is None else self._resolver.value(plain(sink.default), file, here())
+            reject_features(sink, ("loadListing",), locate_in_step)
+            default = (
+                None
+                if sink.default is None
+                else self._resolver.resolve(to_plain_data(sink.default), file, locate_in_step())
+            )
             inputs.append(
                 flow_messages.StepInput(
-                    short(sink.id),
-                    links(sink.source, flow.id),
+                    short_name(sink.id),
+                    source_names(sink.source, flow.id),
                     isinstance(sink.source, list),
                     sink.linkMerge or "merge_nested",
                     sink.pickValue,
@@ -206,42 +248,52 @@
                     bool(sink.loadContents),
                 )
             )
-        over = [step.scatter] if isinstance(step.scatter, str) else step.scatter or []
-        scattered = [short(s) for s in over]
-        taken = {s.name for s in inputs}
-        for param in self.processes[target].inputs:
-            if param.name not in taken and param.default is None and not optional(param.type):
-                raise CwlError(f"{here()}: {name} gives no value for {param.name}")
-        for one in scattered:
-            if one not in taken:
-                raise CwlError(f"{here('scatter')}: scatter over {one}, which is no input of the step")
-        produced = {o.name for o in self.processes[target].outputs}
-        outs = [short(o if isinstance(o, str) else o.id) for o in step.out]
+        scatter = [step.scatter] if isinstance(step.scatter, str) else step.scatter or []
+        scattered = [short_name(s) for s in scatter]
+        input_names = {s.name for s in inputs}
+        for param in self.processes[process_key].inputs:
+            if param.name not in input_names and param.default is None and not is_optional(param.type):
+                raise CwlError(f"{locate_in_step()}: {name} gives no value for {param.name}")
+        for input_name in scattered:
+            if input_name not in input_names:
+                raise CwlError(f"{locate_in_step('scatter')}: scatter over {input_name}, which is no input of the step")
+        output_names = {o.name for o in self.processes[process_key].outputs}
+        outs = [short_name(o if isinstance(o, str) else o.id) for o in step.out]
         for out in outs:
-            if out not in produced:
-                raise CwlError(f"{here('out', out)}: {name} has no output {out}")
+            if out not in output_names:
+                raise CwlError(f"{locate_in_step('out', out)}: {name} has no output {out}")
         return flow_messages.Step(
-            name, target, inputs, outs, scattered, step.scatterMethod or "dotproduct", step.when, hints
+            name, process_key, inputs, outs, scattered, step.scatterMethod or "dotproduct", step.when, hints
         )
 
 
-def optional(found: Any) -> bool:
-    return found in ("null", "Any") or (isinstance(found, list) and "null" in found)
+def is_optional(param_type: Any) -> bool:
+    """Whether a parameter of this type may be left out."""
+    return param_type in ("null", "Any") or (isinstance(param_type, list) and "null" in param_type)
 
 
-def links(source: Any, flow_id: str) -> list[str]:
-    """Sources as plans name them: an input, or step/output."""
-    found = [source] if isinstance(source, str) else source or []
-    made = []
-    for one in found:
-        rest = one.removeprefix(flow_id).lstrip("#/") if one.startswith(flow_id) else one.rpartition("#")[2]
-        made.append("/".join(rest.split("/")[-2:]))
-    return made
+def source_names(source: Any, flow_id: str) -> list[str]:
+    """The names that plans have for sources: "input" or "step/output"."""
+    source_ids = [source] if isinstance(source, str) else source or []
+    names = []
+    for source_id in source_ids:
+        path = (
+            source_id.removeprefix(flow_id).lstrip("#/")
+            if source_id.startswith(flow_id)
+            else source_id.rpartition("#")[2]
+        )
+        names.append("/".join(path.split("/")[-2:]))
+    return names
 
 
-def check_links(sources: list[str], known: set[str], where: str, sink: str) -> None:
+def check_links(sources: list[str], known_sources: set[str], source_line: str, sink: str) -> None:
+    """Raises CwlError if a source is neither an input of the workflow nor an output of one of its steps."""
     for source in sources:
-        if source not in known:
+        if source not in known_sources:
             step = source.partition("/")[0]
-            what = f"no output {source}" if any(k.startswith(f"{step}/") for k in known) else f"no step or input {step}"
-            raise CwlError(f"{where}: {sink} takes {source}: {what}")
+            reason = (
+                f"no output {source}"
+                if any(k.startswith(f"{step}/") for k in known_sources)
+                else f"no step or input {step}"
+            )
+            raise CwlError(f"{source_line}: {sink} takes {source}: {reason}")
--- a/winglift/cwl/errors.py
+++ b/winglift/cwl/errors.py
@@ -1,4 +1,4 @@
-"""What stands against a document or an order, with file and line."""
+"""Errors in documents and orders, and the file and line that they name."""
 
 from __future__ import annotations
 
@@ -6,26 +6,27 @@
 import re
 
 
-class Place:
-    """Lines of the files that were read, found by what stands there."""
+class SourceLocator:
+    """Finds the line of a text in the files that were read."""
 
     def __init__(self) -> None:
         self._lines: dict[str, list[str]] = {}
 
-    def at(self, file: str, *tokens: str) -> str:
-        """ "file:line" of the last of the tokens, each looked for below the one before; the file alone if none is."""
+    def locate(self, file: str, *tokens: str) -> str:
+        """Returns "file:line" of the last token that is found; the search for each token begins at the line of the one
+        before. Returns the file alone if no token is found."""
         lines = self._read(file)
-        found = None
+        last = None
         for token in tokens:
             pattern = re.compile(rf"(?<![\w.]){re.escape(token)}(?!\w)")
-            for number in range(found or 0, len(lines)):
-                if pattern.search(lines[number].split(" #")[0]):
-                    found = number
+            for index in range(last or 0, len(lines)):
+                if pattern.search(lines[index].split(" #")[0]):
+                    last = index
                     break
-        return file if found is None else f"{file}:{found + 1}"
+        return file if last is None else f"{file}:{last + 1}"
 
-    def holding(self, file: str, text: str) -> str | None:
-        """ "file:line" of the first line that holds a text as it stands."""
+    def locate_text(self, file: str, text: str) -> str | None:
+        """Returns "file:line" of the first line that contains a text literally; None if there is none."""
         return next((f"{file}:{n}" for n, line in enumerate(self._read(file), 1) if text in line), None)
 
     def _read(self, file: str) -> list[str]:
@@ -38,18 +39,18 @@
 
 
 class CwlError(Exception):
-    """A document or an order that is wrong: exit code 1."""
+    """A document or an order is invalid: exit code 1."""
 
 
-class Unsupported(CwlError):
-    """A feature that is not supported: exit code 33."""
+class UnsupportedFeature(CwlError):
+    """A document or an order uses an unsupported feature: exit code 33."""
 
 
-def said(err: Exception, file: str) -> str:
-    """One line of a validator's report: its innermost finding with the place."""
+def validation_message(err: Exception, file: str) -> str:
+    """The most specific message of a validation error, with its file, as one line."""
     lines = [line.strip() for line in str(err).splitlines() if line.strip()]
-    placed = [line for line in lines if re.match(r".*\.(cwl|yml|yaml|json):\d+", line)]
-    text = (placed or lines or [repr(err)])[-1]
-    rest = lines[lines.index(text) + 1 : lines.index(text) + 2]
-    shown = " ".join([text, *rest]).replace("file://", "")
-    return shown if file in shown else f"{file}: {shown}"
+    with_position = [line for line in lines if re.match(r".*\.(cwl|yml|yaml|json):\d+", line)]
+    text = (with_position or lines or [repr(err)])[-1]
+    continuation = lines[lines.index(text) + 1 : lines.index(text) + 2]
+    message = " ".join([text, *continuation]).replace("file://", "")
+    return message if file in message else f"{file}: {message}"
--- a/winglift/cwl/links.py
+++ b/winglift/cwl/links.py
@@ -1,4 +1,4 @@
-"""Types along the links of a plan: a value that could never be of its sink's type is refused before anything runs."""
+"""Checks the types along a plan's links: a link whose values can never be of the sink's type is an error."""
 
 from __future__ import annotations
 
@@ -6,92 +6,114 @@
 
 from ..flows.values import describe
 from ..wire.flows import FlowOutput, Plan, Step, StepInput, Workflow
-from .errors import CwlError, Place
+from .errors import CwlError, SourceLocator
 
-WIDER = {"int": {"long", "float", "double"}, "long": {"float", "double"}, "float": {"double"}}
+WIDENING_CONVERSIONS = {"int": {"long", "float", "double"}, "long": {"float", "double"}, "float": {"double"}}
 
 
-def options(kind: Any) -> list[Any]:
-    return [o for k in kind for o in options(k)] if isinstance(kind, list) else [kind]
+def union_members(type_: Any) -> list[Any]:
+    """The members of a union, nested ones included; any other type is its only member."""
+    return [m for t in type_ for m in union_members(t)] if isinstance(type_, list) else [type_]
 
 
-def assignable(source: Any, sink: Any) -> bool:
-    """Could some value of one type be of the other? What depends on the value shows when it is there."""
-    return any(_fits(s, k) for s in options(source) for k in options(sink))
+def is_assignable(source: Any, sink: Any) -> bool:
+    """Whether some value of the source's type is also of the sink's type. Each value is checked at run time."""
+    return any(_is_assignable_member(s, t) for s in union_members(source) for t in union_members(sink))
 
 
-def _fits(source: Any, sink: Any) -> bool:
+def _is_assignable_member(source: Any, sink: Any) -> bool:
     if "Any" in (source, sink):
         return source != "null"
     if isinstance(source, dict) and isinstance(sink, dict):
         if "array" in source and "array" in sink:
-            return assignable(source["array"], sink["array"])
+            return is_assignable(source["array"], sink["array"])
         if "enum" in source and "enum" in sink:
             return bool(set(source["enum"]) & set(sink["enum"]))
         if "record" in source and "record" in sink:
-            return all(assignable(source["record"].get(f, "null"), kind) for f, kind in sink["record"].items())
+            return all(
+                is_assignable(source["record"].get(f, "null"), field_type) for f, field_type in sink["record"].items()
+            )
         return False
     if isinstance(source, dict) or isinstance(sink, dict):
-        # A text may be one of an enumeration's names, and they are texts.
-        return "string" in (source, sink) and any(isinstance(k, dict) and "enum" in k for k in (source, sink))
-    return source == sink or sink in WIDER.get(source, ())
+        # A string may be one of an enum's symbols, and every symbol is a string.
+        return "string" in (source, sink) and any(isinstance(t, dict) and "enum" in t for t in (source, sink))
+    return source == sink or sink in WIDENING_CONVERSIONS.get(source, ())
 
 
-def arriving(sink: StepInput | FlowOutput, types: dict[str, Any]) -> Any:
-    """The type of what a sink's sources give together."""
-    found = [types[s] for s in sink.source]
-    if len(found) == 1 and not sink.several:
-        made = found[0]
+def combined_source_type(sink: StepInput | FlowOutput, types: dict[str, Any]) -> Any:
+    """The type of the value that a sink's sources yield after linkMerge and pickValue."""
+    source_types = [types[s] for s in sink.source]
+    if len(source_types) == 1 and not sink.several:
+        merged = source_types[0]
     else:
         if sink.merge == "merge_flattened":
-            found = [o["array"] if isinstance(o, dict) and "array" in o else o for k in found for o in options(k)]
-        made = {"array": found}
+            source_types = [
+                m["array"] if isinstance(m, dict) and "array" in m else m
+                for t in source_types
+                for m in union_members(t)
+            ]
+        merged = {"array": source_types}
     if sink.pick is None:
-        return made
-    inner = [
-        o for k in options(made) if isinstance(k, dict) and "array" in k for o in options(k["array"]) if o != "null"
+        return merged
+    non_null = [
+        m
+        for t in union_members(merged)
+        if isinstance(t, dict) and "array" in t
+        for m in union_members(t["array"])
+        if m != "null"
     ]
-    return {"array": inner} if sink.pick == "all_non_null" else inner
+    return {"array": non_null} if sink.pick == "all_non_null" else non_null
 
 
-def produced(step: Step, plan: Plan) -> dict[str, Any]:
-    """The types of a step's outputs, as others see them."""
-    made = {}
-    depth = len(step.scatter) if step.method == "nested_crossproduct" else min(1, len(step.scatter))
+def step_output_types(step: Step, plan: Plan) -> dict[str, Any]:
+    """The types of a step's outputs as the links see them: with `when` and scatter applied."""
+    output_types = {}
+    array_depth = len(step.scatter) if step.method == "nested_crossproduct" else min(1, len(step.scatter))
     for out in plan.processes[step.run].outputs:
-        kind: Any = [*options(out.type), "null"] if step.when is not None else out.type
-        for _ in range(depth):
-            kind = {"array": kind}
-        made[f"{step.name}/{out.name}"] = kind
-    return made
+        output_type: Any = [*union_members(out.type), "null"] if step.when is not None else out.type
+        for _ in range(array_depth):
+            output_type = {"array": output_type}
+        output_types[f"{step.name}/{out.name}"] = output_type
+    return output_types
 
 
-def check_types(plan: Plan, sources: dict[str, str], place: Place) -> None:
-    """Raises CwlError naming file, line, both ends of the link and their types."""
+def check_types(plan: Plan, source_files: dict[str, str], locator: SourceLocator) -> None:
+    """Raises CwlError with file, line, both ends of the link and their types."""
     for key, flow in plan.processes.items():
         if not isinstance(flow, Workflow):
             continue
-        file = sources[key]
+        file = source_files[key]
         types: dict[str, Any] = {p.name: p.type for p in flow.inputs}
         for step in flow.steps:
-            types.update(produced(step, plan))
+            types.update(step_output_types(step, plan))
         for step in flow.steps:
-            wanted = {p.name: p for p in plan.processes[step.run].inputs}
+            params = {p.name: p for p in plan.processes[step.run].inputs}
             for sink in step.inputs:
-                if not sink.source or sink.value_from is not None or sink.name not in wanted:
+                if not sink.source or sink.value_from is not None or sink.name not in params:
                     continue
-                kind = wanted[sink.name].type
-                if sink.default is not None or wanted[sink.name].default is not None:
-                    kind = [*options(kind), "null"]
+                sink_type = params[sink.name].type
+                if sink.default is not None or params[sink.name].default is not None:
+                    sink_type = [*union_members(sink_type), "null"]
                 if sink.name in step.scatter:
-                    kind = {"array": kind}
-                _check(sink, types, kind, f"{step.name}/{sink.name}", place.at(file, "steps", step.name, sink.name))
+                    sink_type = {"array": sink_type}
+                _check_link(
+                    sink,
+                    types,
+                    sink_type,
+                    f"{step.name}/{sink.name}",
+                    locator.locate(file, "steps", step.name, sink.name),
+                )
         for out in flow.outputs:
             if out.source:
-                _check(out, types, out.type, out.name, place.at(file, "outputs", out.name))
-
-
-def _check(sink: StepInput | FlowOutput, types: dict[str, Any], kind: Any, name: str, where: str) -> None:
-    given = arriving(sink, types)
-    if not assignable(given, kind):
-        raise CwlError(f"{where}: {name} takes {', '.join(sink.source)}: {describe(given)} is not {describe(kind)}")
+                _check_link(out, types, out.type, out.name, locator.locate(file, "outputs", out.name))
+
+
+def _check_link(
+    sink: StepInput | FlowOutput, types: dict[str, Any], sink_type: Any, name: str, source_line: str
+) -> None:
+    source_type = combined_source_type(sink, types)
+    if not is_assignable(source_type, sink_type):
+        raise CwlError(
+            f"{source_line}: {name} takes {', '.join(sink.source)}: "
+            f"{describe(source_type)} is not {describe(sink_type)}"
+        )
--- a/winglift/cwl/load.py
+++ b/winglift/cwl/load.py
@@ -1,4 +1,4 @@
-"""Read, check and convert: nothing is submitted that could be known to be wrong, and nothing is fetched."""
+"""Reads, checks and converts documents and orders, so that errors show before submission. Accesses no network."""
 
 from __future__ import annotations
 
@@ -21,16 +21,18 @@
 from ..flows.values import FlowError
 from ..wire.flows import Expression, Plan, Tool, Workflow, parse_plan
 from .convert import Converter
-from .errors import CwlError, Place, Unsupported, said
+from .errors import CwlError, SourceLocator, UnsupportedFeature, validation_message
 from .links import check_types
-from .order import Resolver, read_order
-from .types import plain
+from .order import FileResolver, read_order
+from .types import to_plain_data
 
-CHECK_S = 0.5  # s of processor time for one expression when files are checked
+EXPRESSION_CPU_LIMIT_S = 0.5  # CPU time for one expression while files are checked
 
 
 @dataclass(slots=True)
 class Checked:
+    """A plan and an order that passed all checks, the graph's nodes by step path, and the contents to be uploaded."""
+
     plan: Plan
     order: dict[str, Any]
     nodes: dict[str, Node]
@@ -38,72 +40,85 @@
 
 
 def read_yaml(file: str) -> Any:
+    """Reads a YAML file as built-in types. Raises CwlError with file and line."""
     try:
-        return plain(yaml_no_ts().load(pathlib.Path(file).read_text(encoding="utf-8")))
+        return to_plain_data(yaml_no_ts().load(pathlib.Path(file).read_text(encoding="utf-8")))
     except (OSError, UnicodeDecodeError) as err:
         raise CwlError(f"{file}: can't be read: {getattr(err, 'strerror', None) or err}") from None
     except YAMLError as err:
         mark = getattr(err, "problem_mark", None)
-        where = f"{file}:{mark.line + 1}" if mark is not None else file
-        raise CwlError(f"{where}: not YAML: {getattr(err, 'problem', None) or err}") from None
+        source_line = f"{file}:{mark.line + 1}" if mark is not None else file
+        raise CwlError(f"{source_line}: not YAML: {getattr(err, 'problem', None) or err}") from None
 
 
-def _inside(value: Any, file: str, place: Place, seen: set[str], outer: tuple[str, ...]) -> None:
-    """Refuse by name whatever a document would have fetched from elsewhere, before anything reads it."""
+def _reject_external_references(
+    value: Any, file: str, locator: SourceLocator, scanned_files: set[str], callers: tuple[str, ...]
+) -> None:
+    """Raises UnsupportedFeature for a reference that the parser would fetch; scans the local files that steps run."""
     if isinstance(value, list):
-        for one in value:
-            _inside(one, file, place, seen, outer)
+        for element in value:
+            _reject_external_references(element, file, locator, scanned_files, callers)
     if not isinstance(value, dict):
         return
-    for key, found in value.items():
+    for key, child in value.items():
         if key == "$schemas":
-            raise Unsupported(f"{place.at(file, '$schemas')}: $schemas: {found}")
-        if key in ("run", "$import", "$include", "$mixin") and isinstance(found, str):
-            if "://" in found and not found.startswith("file://"):
-                raise Unsupported(f"{place.at(file, found)}: {key}: {found} points outside")
+            raise UnsupportedFeature(f"{locator.locate(file, '$schemas')}: $schemas: {child}")
+        if key in ("run", "$import", "$include", "$mixin") and isinstance(child, str):
+            if "://" in child and not child.startswith("file://"):
+                raise UnsupportedFeature(f"{locator.locate(file, child)}: {key}: {child} is not a local file")
             if key != "run":
-                raise Unsupported(f"{place.at(file, key)}: {key}")
-            path = found.removeprefix("file://").partition("#")[0]
+                raise UnsupportedFeature(f"{locator.locate(file, key)}: {key}")
+            path = child.removeprefix("file://").partition("#")[0]
             if path:
-                other = str((pathlib.Path(file).parent / path).resolve())
-                if not pathlib.Path(other).is_file():
-                    raise CwlError(f"{place.at(file, found)}: run: no file {found}")
-                _scan(other, place, seen, outer)
+                target = str((pathlib.Path(file).parent / path).resolve())
+                if not pathlib.Path(target).is_file():
+                    raise CwlError(f"{locator.locate(file, child)}: run: no file {child}")
+                _scan_document(target, locator, scanned_files, callers)
         else:
-            _inside(found, file, place, seen, outer)
+            _reject_external_references(child, file, locator, scanned_files, callers)
 
 
-def _scan(file: str, place: Place, seen: set[str], outer: tuple[str, ...] = ()) -> None:
-    """Look a document through, and those that it runs. Ones that run one another for ever would be read for ever."""
-    if file in outer:
+def _scan_document(file: str, locator: SourceLocator, scanned_files: set[str], callers: tuple[str, ...] = ()) -> None:
+    """Scans a document and those that its steps run. `callers` are the documents that led to it: a document among its
+    own callers is an error, since the parser would load it without end."""
+    if file in callers:
         raise CwlError(f"{file}: the workflow runs itself")
-    if file in seen:
+    if file in scanned_files:
         return
-    seen.add(file)
-    found = read_yaml(file)
-    if not isinstance(found, dict):
-        raise CwlError(f"{file}: no CWL document")
-    version = found.get("cwlVersion")
+    scanned_files.add(file)
+    content = read_yaml(file)
+    if not isinstance(content, dict):
+        raise CwlError(f"{file}: not a CWL document")
+    version = content.get("cwlVersion")
     if version is not None and version != "v1.2":
-        raise Unsupported(f"{place.at(file, 'cwlVersion')}: cwlVersion {version}; v1.2 is supported")
-    if "$graph" in found:
-        raise Unsupported(f"{place.at(file, '$graph')}: $graph")
-    _inside(found, file, place, seen, (*outer, file))
-
-
-def sample(kind: Any) -> Any:
-    """A value of a type, for trying an expression."""
-    if isinstance(kind, list):
-        return sample(next((k for k in kind if k != "null"), "null"))
-    if isinstance(kind, dict):
-        if "array" in kind:
-            return [sample(kind["array"])]
-        return kind["enum"][0] if "enum" in kind else {f: sample(k) for f, k in kind["record"].items()}
-    known = {"null": None, "boolean": True, "int": 1, "long": 1, "float": 1.0, "double": 1.0, "string": "a", "Any": "a"}
-    if kind in known:
-        return known[kind]
+        raise UnsupportedFeature(f"{locator.locate(file, 'cwlVersion')}: cwlVersion {version}; v1.2 is supported")
+    if "$graph" in content:
+        raise UnsupportedFeature(f"{locator.locate(file, '$graph')}: $graph")
+    _reject_external_references(content, file, locator, scanned_files, (*callers, file))
+
+
+def sample_value(type_: Any) -> Any:
+    """A value of a type, on which expressions are tried."""
+    if isinstance(type_, list):
+        return sample_value(next((t for t in type_ if t != "null"), "null"))
+    if isinstance(type_, dict):
+        if "array" in type_:
+            return [sample_value(type_["array"])]
+        return type_["enum"][0] if "enum" in type_ else {f: sample_value(t) for f, t in type_["record"].items()}
+    samples = {
+        "null": None,
+        "boolean": True,
+        "int": 1,
+        "long": 1,
+        "float": 1.0,
+        "double": 1.0,
+        "string": "a",
+        "Any": "a",
+    }
+    if type_ in samples:
+        return samples[type_]
     return {
-        "class": kind,
+        "class": type_,
         "basename": "a.txt",
         "nameroot": "a",
         "nameext": ".txt",
@@ -117,41 +132,42 @@
     }
 
 
-def _texts(value: Any) -> list[str]:
-    """All texts with expressions in a process."""
+def _expression_texts(value: Any) -> list[str]:
+    """All strings in a process that contain expressions."""
     if isinstance(value, str):
         return [value] if needs_evaluation(value) else []
     if isinstance(value, dict):
-        return [t for v in value.values() for t in _texts(v)]
+        return [t for v in value.values() for t in _expression_texts(v)]
     if isinstance(value, list | tuple):
-        return [t for v in value for t in _texts(v)]
+        return [t for v in value for t in _expression_texts(v)]
     if hasattr(value, "__struct_fields__"):
-        return [t for f in value.__struct_fields__ if f != "library" for t in _texts(getattr(value, f))]
+        return [t for f in value.__struct_fields__ if f != "library" for t in _expression_texts(getattr(value, f))]
     return []
 
 
-def _try_expressions(plan: Plan, sources: dict[str, str], place: Place) -> None:
-    """Try every expression on made-up values: what does not end or can't be read is refused, what fails is not."""
-    engines = Engines(CHECK_S)
+def _try_expressions(plan: Plan, source_files: dict[str, str], locator: SourceLocator) -> None:
+    """Tries every expression on sample values. Timeouts and syntax errors are errors of the document; other failures
+    may be due to the sample values and are ignored."""
+    engines = Engines(EXPRESSION_CPU_LIMIT_S)
     for key, process in plan.processes.items():
-        file = sources[key]
-        known = {p.name for p in process.inputs}
-        inputs = {p.name: sample(p.type) for p in process.inputs}
+        file = source_files[key]
+        known_inputs = {p.name for p in process.inputs}
+        inputs = {p.name: sample_value(p.type) for p in process.inputs}
         if isinstance(process, Workflow):
             for step in process.steps:
-                known |= {s.name for s in step.inputs}
-                target = {p.name: p.type for p in plan.processes[step.run].inputs}
-                inputs |= {s.name: sample(target.get(s.name, "Any")) for s in step.inputs}
+                known_inputs |= {s.name for s in step.inputs}
+                param_types = {p.name: p.type for p in plan.processes[step.run].inputs}
+                inputs |= {s.name: sample_value(param_types.get(s.name, "Any")) for s in step.inputs}
         evaluate = Evaluator(engines, process.javascript, process.library)
-        for text in _texts(process):
-            first = text.splitlines()[0][:60]
-            where = place.holding(file, first) or place.at(
+        for text in _expression_texts(process):
+            excerpt = text.splitlines()[0][:60]
+            source_line = locator.locate_text(file, excerpt) or locator.locate(
                 file, next((w for w in re.findall(r"\w{3,}", text) if w != "inputs"), "$(")
             )
             for name in re.findall(r"\binputs\.(\w+)", text):
-                if name not in known and name != "length":
-                    raise CwlError(f"{where}: {first}: no input {name}")
-            for self_value in (sample("File"), [sample("File")]):
+                if name not in known_inputs and name != "length":
+                    raise CwlError(f"{source_line}: {excerpt}: no input {name}")
+            for self_value in (sample_value("File"), [sample_value("File")]):
                 try:
                     evaluate(
                         text,
@@ -170,21 +186,23 @@
                         },
                     )
                 except Endless as err:
-                    raise CwlError(f"{where}: {err}") from None
+                    raise CwlError(f"{source_line}: {err}") from None
                 except ExpressionError as err:
-                    if any(sign in str(err) for sign in ("SyntaxError", "JavaScript", "not closed", "no such name")):
-                        raise CwlError(f"{where}: {err}") from None
+                    if any(
+                        marker in str(err) for marker in ("SyntaxError", "JavaScript", "not closed", "no such name")
+                    ):
+                        raise CwlError(f"{source_line}: {err}") from None
 
 
 def _try_start(checked: Checked) -> None:
-    """Begin the workflow as the leader would: what can be known of its first steps is known now."""
-    engine = Engine(checked.plan, checked.order, Engines(CHECK_S))
-    call: Callable[[], object] = engine.start
+    """Starts the workflow as the leader does, and builds the commands of its first steps, so that their errors show."""
+    engine = Engine(checked.plan, checked.order, Engines(EXPRESSION_CPU_LIMIT_S))
+    advance_engine: Callable[[], object] = engine.start
     while True:
         try:
-            call()
-            call = engine.go
-            call()
+            advance_engine()
+            advance_engine = engine.go
+            advance_engine()
             break
         except Needs as need:
             engine.contents[need.digest] = checked.blobs[need.digest].decode(errors="replace")
@@ -198,33 +216,35 @@
 
 
 def check(file: str, order_file: str | None) -> Checked:
-    """Read a document and an order (None: no inputs are looked at). Raises CwlError and Unsupported with file, line
-    and reason."""
-    place, resolver = Place(), Resolver()
+    """Reads and checks a document and an order (None: inputs are not checked). Raises CwlError and UnsupportedFeature
+    with file, line and reason."""
+    locator, resolver = SourceLocator(), FileResolver()
     path = str(pathlib.Path(file).resolve())
     if not pathlib.Path(path).is_file():
         raise CwlError(f"{file}: no such file")
-    _scan(path, place, set())
+    _scan_document(path, locator, set())
     try:
         document = load_document_by_uri(path, load_all=False)
     except SchemaSaladException as err:
-        raise CwlError(said(err, path)) from None
+        raise CwlError(validation_message(err, path)) from None
     except (ValueError, AttributeError, KeyError, TypeError) as err:
         raise CwlError(f"{path}: {err}") from None
-    converter = Converter(path, place, resolver)
-    # Through the form in which it travels: what the YAML reader adds to texts and numbers stays behind.
-    plan = parse_plan(msgspec.json.encode(converter.plan(document), enc_hook=plain))
+    converter = Converter(path, locator, resolver)
+    # Encoding and decoding the plan replaces the YAML reader's subclasses of str, int and float by the built-in types.
+    plan = parse_plan(msgspec.json.encode(converter.convert(document), enc_hook=to_plain_data))
     try:
         nodes = graph(plan)
     except FlowError as err:
-        step = re.search(r"steps (\w+)", str(err))
-        raise CwlError(f"{place.at(path, 'steps', *(step.groups() if step else ()))}: {err}") from None
-    check_types(plan, converter.sources, place)
-    _try_expressions(plan, converter.sources, place)
+        step_match = re.search(r"steps (\w+)", str(err))
+        raise CwlError(
+            f"{locator.locate(path, 'steps', *(step_match.groups() if step_match else ()))}: {err}"
+        ) from None
+    check_types(plan, converter.source_files, locator)
+    _try_expressions(plan, converter.source_files, locator)
     order: dict[str, Any] = {}
     main = plan.processes[plan.main]
     if order_file is not None:
-        order = read_order(read_yaml(order_file), order_file, main.inputs, resolver, place)
+        order = read_order(read_yaml(order_file), order_file, main.inputs, resolver, locator)
     checked = Checked(plan, order, nodes, resolver.blobs)
     if order_file is not None:
         try:
