--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Entry point of the deploy file: puts the built dependencies on the path and starts the daemon."""
+"""Entry point of deployments: adds the built dependencies to the import path and runs the command line."""
 
 import os
 import sys
--- a/winglift/cli/client.py
+++ b/winglift/cli/client.py
@@ -1,4 +1,4 @@
-"""A user's client of the nodes: repeats what may be repeated, as the protocol has users do."""
+"""A user's client of the controllers. Retries requests, which the protocol makes safe to repeat."""
 
 from __future__ import annotations
 
@@ -15,49 +15,52 @@
 
 
 class ServerError(Exception):
-    """The service refuses for good, or can't be reached in time."""
+    """A request was rejected, or no node answered in time."""
 
 
 class Server:
-    """Several addresses, asked in turn: any node answers."""
+    """Sends requests to one of several nodes; any node answers, and after a failure the next one is tried."""
 
-    def __init__(self, addresses: str, patience_s: float = constants.CLIENT_RETRY_TIMEOUT_S) -> None:
+    def __init__(self, addresses: str, timeout_s: float = constants.CLIENT_RETRY_TIMEOUT_S) -> None:
         try:
-            found = [parse_addr(a.strip(), "--server") for a in addresses.split(",")]
+            nodes = [parse_addr(a.strip(), "--server") for a in addresses.split(",")]
         except SettingsError as err:
             raise ServerError(str(err)) from None
-        self._nodes = [PoolingHttpClient(host, port) for host, port in found]
-        self._at = 0
-        self._patience_s = patience_s
+        self._nodes = [PoolingHttpClient(host, port) for host, port in nodes]
+        self._node_index = 0
+        self._timeout_s = timeout_s
 
     async def ask(self, method: str, path: str, body: bytes | None = None) -> Reply:
-        """The answer, once there is one that counts. Requests with a 503 or without an answer are repeated."""
-        end = time.monotonic() + self._patience_s
+        """Sends a request until there is a final reply. Repeats it after status 429, 503 or 504 and without a reply.
+        Raises ServerError if there is none within the timeout."""
+        deadline = time.monotonic() + self._timeout_s
         while True:
-            node = self._nodes[self._at % len(self._nodes)]
-            pause = constants.CLIENT_RETRY_DELAY_S
+            node = self._nodes[self._node_index % len(self._nodes)]
+            delay_s = constants.CLIENT_RETRY_DELAY_S
             try:
                 reply = await node.request(method, path, body, constants.CLIENT_TIMEOUT_S)
                 if reply.status not in (429, 503, 504):
                     return reply
-                why = f"{reply.status} {_error(reply)}"
-                pause = max(pause, reply.retry_after or 0.0)
+                reason = f"{reply.status} {_error_text(reply)}"
+                delay_s = max(delay_s, reply.retry_after or 0.0)
             except Unanswered as err:
-                why = str(err)
+                reason = str(err)
                 if isinstance(err, NotSent) and len(self._nodes) > 1:
-                    pause = 0.1
-            self._at += 1
-            if time.monotonic() + pause > end:
-                raise ServerError(f"no answer for {self._patience_s:g} s: {why}")
-            await asyncio.sleep(pause)
+                    delay_s = 0.1
+            self._node_index += 1
+            if time.monotonic() + delay_s > deadline:
+                raise ServerError(f"no answer for {self._timeout_s:g} s: {reason}")
+            await asyncio.sleep(delay_s)
 
     async def reply(self, method: str, path: str, body: bytes | None = None) -> flow_messages.FlowReply:
-        return _decode(flow_messages.reply_decoder, await self.good(method, path, body))
+        """Sends a request whose reply describes a workflow."""
+        return _decode(flow_messages.reply_decoder, await self.request_ok(method, path, body))
 
-    async def good(self, method: str, path: str, body: bytes | None = None) -> Reply:
+    async def request_ok(self, method: str, path: str, body: bytes | None = None) -> Reply:
+        """Sends a request as `ask` does, and raises ServerError unless the status of the reply is 200 or 201."""
         reply = await self.ask(method, path, body)
         if reply.status not in (200, 201):
-            raise ServerError(f"{reply.status}: {_error(reply)}")
+            raise ServerError(f"{reply.status}: {_error_text(reply)}")
         return reply
 
     async def flow(self, ref: str) -> flow_messages.FlowReply:
@@ -70,27 +73,28 @@
         return msgspec.structs.replace(reply, steps=steps)
 
     async def flows(self) -> list[flow_messages.FlowReply]:
-        found: list[flow_messages.FlowReply] = []
+        """All workflows, by id; requested page by page."""
+        flows: list[flow_messages.FlowReply] = []
         while True:
-            after = found[-1].ref if found else ""
-            page = _decode(flow_messages.list_decoder, await self.good("GET", f"/flows?after={after}"))
-            found += page.flows
+            after = flows[-1].ref if flows else ""
+            page = _decode(flow_messages.list_decoder, await self.request_ok("GET", f"/flows?after={after}"))
+            flows += page.flows
             if not page.more or not page.flows:
-                return found
+                return flows
 
-    async def files(self) -> str:
-        """Where uploads go, as the nodes say it."""
-        return _decode(flow_messages.list_decoder, await self.good("GET", "/flows?after=z")).files
+    async def upload_store_address(self) -> str:
+        """The address of the upload store, as the nodes report it."""
+        return _decode(flow_messages.list_decoder, await self.request_ok("GET", "/flows?after=z")).files
 
 
 def _decode(decoder: Any, reply: Reply) -> Any:
     try:
         return decoder.decode(reply.body)
     except msgspec.DecodeError as err:
-        raise ServerError(f"an odd answer: {err}") from None
+        raise ServerError(f"unreadable reply: {err}") from None
 
 
-def _error(reply: Reply) -> str:
+def _error_text(reply: Reply) -> str:
     try:
         return str(msgspec.json.decode(reply.body)["error"])
     except (msgspec.DecodeError, KeyError, TypeError):
--- a/winglift/cli/flow.py
+++ b/winglift/cli/flow.py
@@ -1,4 +1,4 @@
-"""`winglift flow`: workflows in CWL, from a check of the files to the output object."""
+"""`winglift flow`: checks, submits, follows and cancels workflows in CWL."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from ..wire import flows as flow_messages
 from ..wire.flows import FlowReply, FlowState
 from .client import Server, ServerError
-from .show import describe, display, draw, step_states
+from .show import create_display, draw_graph, graph_data, step_states
 
-UNSUPPORTED = 33
+EXIT_UNSUPPORTED = 33
 
 
 def run_async(work: Coroutine[Any, Any, int]) -> int:
-    """The exit code; what goes wrong is one line on standard error."""
+    """Runs a command; returns its exit code. Errors are printed as one line on standard error."""
     try:
         return asyncio.run(work)
     except (ServerError, FilesError, FlowError, flow_messages.InvalidMessage) as err:
@@ -35,8 +35,8 @@
         return 1
 
 
-def read(plan: str, order: str | None):  # type: ignore[no-untyped-def]
-    """The checked files, or an exit code."""
+def check_files(plan: str, order: str | None):  # type: ignore[no-untyped-def]
+    """Checks a document and an order. Returns the checked workflow, or an exit code after an error."""
     from ..cwl.errors import CwlError, UnsupportedFeature
     from ..cwl.load import check
 
@@ -44,13 +44,14 @@
         return check(plan, order)
     except UnsupportedFeature as err:
         print(f"winglift: unsupported: {err}", file=sys.stderr)
-        return UNSUPPORTED
+        return EXIT_UNSUPPORTED
     except CwlError as err:
         print(f"winglift: {err}", file=sys.stderr)
         return 1
 
 
-def out(value: Any) -> None:
+def print_json(value: Any) -> None:
+    """Prints a value as indented JSON on standard output."""
     click.echo(msgspec.json.format(msgspec.json.encode(value), indent=2).decode())
 
 
@@ -61,13 +62,13 @@
         default="127.0.0.1:18080",
         show_default=True,
         metavar="ADDR[,ADDR]",
-        help="nodes; default: the variable WINGLIFT_SERVER",
+        help="addresses of controller nodes; default: the variable WINGLIFT_SERVER",
     )(command)
 
 
 def files_option(command):  # type: ignore[no-untyped-def]
     return click.option(
-        "--files", envvar="WINGLIFT_FILES", metavar="ADDR", help="store of uploads; default: as the nodes say"
+        "--files", envvar="WINGLIFT_FILES", metavar="ADDR", help="upload store; default: the one that the nodes report"
     )(command)
 
 
@@ -81,16 +82,18 @@
             "--id",
             "ref",
             metavar="FL-N",
-            help="the workflow's id; default: a random one. A repetition with the same id changes nothing",
+            help="the workflow's id; default: a random one. Submitting again with the same id changes nothing",
+        ),
+        click.option(
+            "--team", envvar="WINGLIFT_TEAM", help="team whose quota is used; default: the document's hint winglift:Job"
         ),
-        click.option("--team", envvar="WINGLIFT_TEAM", help="who is charged; default: the files' own hint"),
         click.option(
             "--due",
             type=click.FloatRange(min=0, min_open=True),
             metavar="S",
-            help="seconds until all should be done; default: the files' own hint, or none",
+            help="deadline in seconds after submission; default: the document's hint winglift:Job, or none",
         ),
-        click.option("--reuse", metavar="FL-N", help="take over what an earlier workflow of the team has done"),
+        click.option("--reuse", metavar="FL-N", help="reuse the results of an earlier workflow of the same team"),
         files_option,
         server_option,
         click.argument("order", type=click.Path(dir_okay=False)),
@@ -110,40 +113,43 @@
 @click.argument("order", type=click.Path(dir_okay=False), required=False)
 @json_option
 def check(plan: str, order: str | None, as_json: bool) -> int:
-    """Check the files; nothing is submitted. Exit code 1: something is wrong, 33: something is unsupported."""
-    found = read(plan, order)
-    if isinstance(found, int):
-        return found
+    """Check the files; submit nothing. Exit code 1: a file is invalid, 33: a feature of CWL is unsupported."""
+    checked = check_files(plan, order)
+    if isinstance(checked, int):
+        return checked
     if as_json:
-        out(describe(found.nodes, dict.fromkeys(found.nodes, "waiting")))
+        print_json(graph_data(checked.nodes, dict.fromkeys(checked.nodes, "waiting")))
     else:
-        click.echo(f"{plan}: valid, {len(found.nodes)} steps", err=True)
+        click.echo(f"{plan}: valid, {len(checked.nodes)} steps", err=True)
     return 0
 
 
 async def _submit(
-    found: Any,
-    server: Server,
+    checked: Any,
+    client: Server,
     ref: str | None,
     team: str | None,
     due: float | None,
     reuse: str | None,
     files: str | None,
 ) -> FlowReply:
-    hints = found.plan.processes[found.plan.main].hints
+    hints = checked.plan.processes[checked.plan.main].hints
     team = team or hints.team
     if team is None:
         raise ServerError("no team: give --team, or the hint winglift:Job with team in the workflow")
-    store = Files(*parse_addr(files or await server.files(), "--files"))
-    for content in found.blobs.values():
+    store = Files(*parse_addr(files or await client.upload_store_address(), "--files"))
+    for content in checked.blobs.values():
         await store.put(content)
-    plan, order = await store.put(flow_messages.encode(found.plan)), await store.put(msgspec.json.encode(found.order))
-    # The id is chosen once: every repetition of the request is the same workflow.
+    plan, order = (
+        await store.put(flow_messages.encode(checked.plan)),
+        await store.put(msgspec.json.encode(checked.order)),
+    )
+    # The id is chosen before the first request, so that a repeated request submits the same workflow.
     ref = ref or f"fl-{random.SystemRandom().randrange(10**17)}"
-    sub = flow_messages.FlowSubmission(
+    submission = flow_messages.FlowSubmission(
         ref=ref, team=team, plan=plan, order=order, due_s=due or hints.deadline_s, reuse=reuse
     )
-    return await server.reply("POST", "/flows", flow_messages.encode(sub))
+    return await client.reply("POST", "/flows", flow_messages.encode(submission))
 
 
 @flow.command()
@@ -160,14 +166,14 @@
     files: str | None,
     as_json: bool,
 ) -> int:
-    """Check and submit; print the workflow's id."""
-    found = read(plan, order)
-    if isinstance(found, int):
-        return found
+    """Check and submit a workflow; print its id."""
+    checked = check_files(plan, order)
+    if isinstance(checked, int):
+        return checked
 
     async def work() -> int:
-        reply = await _submit(found, Server(server), ref, team, due, reuse, files)
-        out(reply) if as_json else click.echo(reply.ref)
+        reply = await _submit(checked, Server(server), ref, team, due, reuse, files)
+        print_json(reply) if as_json else click.echo(reply.ref)
         return 0
 
     return run_async(work())
@@ -175,7 +181,9 @@
 
 @flow.command()
 @order_options
-@click.option("--outdir", type=click.Path(file_okay=False), help="write output files there; default: leave them")
+@click.option(
+    "--outdir", type=click.Path(file_okay=False), help="folder for the output files; default: they are not downloaded"
+)
 def run(
     plan: str,
     order: str,
@@ -187,67 +195,67 @@
     files: str | None,
     outdir: str | None,
 ) -> int:
-    """Check, submit, wait, and print the output object as JSON."""
-    found = read(plan, order)
-    if isinstance(found, int):
-        return found
+    """Check and submit a workflow, wait for its end, and print the output object as JSON."""
+    checked = check_files(plan, order)
+    if isinstance(checked, int):
+        return checked
 
     async def work() -> int:
-        nodes = Server(server)
-        reply = await _submit(found, nodes, ref, team, due, reuse, files)
-        click.echo(f"{reply.ref} is accepted; it goes on without this command", err=True)
-        with display() as shown:
-            next_look = 0.0
+        client = Server(server)
+        reply = await _submit(checked, client, ref, team, due, reuse, files)
+        click.echo(f"{reply.ref} is accepted; it continues if this command ends", err=True)
+        with create_display() as progress:
+            next_full_poll = 0.0
             while reply.state is FlowState.OPEN:
                 await asyncio.sleep(constants.CLIENT_POLL_INTERVAL_S)
-                reply = await nodes.reply("GET", f"/flows/{reply.ref}?steps=no")
-                if time.monotonic() >= next_look or reply.state is not FlowState.OPEN:
-                    reply = await nodes.flow(reply.ref)
-                    next_look = time.monotonic() + len(reply.steps) * constants.CLIENT_POLL_INTERVAL_PER_STEP_S
-                    shown.show(reply)
-        return await _finish(reply, nodes, files, outdir)
+                reply = await client.reply("GET", f"/flows/{reply.ref}?steps=no")
+                if time.monotonic() >= next_full_poll or reply.state is not FlowState.OPEN:
+                    reply = await client.flow(reply.ref)
+                    next_full_poll = time.monotonic() + len(reply.steps) * constants.CLIENT_POLL_INTERVAL_PER_STEP_S
+                    progress.show(reply)
+        return await _print_result(reply, client, files, outdir)
 
     return run_async(work())
 
 
-async def _finish(reply: FlowReply, server: Server, files: str | None, outdir: str | None) -> int:
+async def _print_result(reply: FlowReply, client: Server, files: str | None, outdir: str | None) -> int:
     if reply.state is not FlowState.DONE or reply.outputs is None:
         click.echo(f"winglift: {reply.ref} {reply.state.value}: {reply.cause or 'by its user'}", err=True)
         if reply.errors:
             click.echo(reply.errors.rstrip("\n"), err=True)
         return 1
-    store = Files(*parse_addr(files or await server.files(), "--files"))
+    store = Files(*parse_addr(files or await client.upload_store_address(), "--files"))
     outputs = msgspec.json.decode(await store.get(reply.outputs))
     if outdir is not None:
-        outputs = await _save(outputs, pathlib.Path(outdir), store, set())
-    out(outputs)
+        outputs = await _save_outputs(outputs, pathlib.Path(outdir), store, set())
+    print_json(outputs)
     return 0
 
 
-async def _save(value: Any, folder: pathlib.Path, store: Files, taken: set[pathlib.Path]) -> Any:
-    """Write files below a folder and name their places; equal names get numbers."""
+async def _save_outputs(value: Any, folder: pathlib.Path, store: Files, used_paths: set[pathlib.Path]) -> Any:
+    """Writes the files of a value to a folder; returns the value with their paths. Duplicate names get a number."""
     if isinstance(value, list):
-        return [await _save(v, folder, store, taken) for v in value]
+        return [await _save_outputs(v, folder, store, used_paths) for v in value]
     if not isinstance(value, dict):
         return value
     if value.get("class") not in ("File", "Directory"):
-        return {k: await _save(v, folder, store, taken) for k, v in value.items()}
+        return {k: await _save_outputs(v, folder, store, used_paths) for k, v in value.items()}
     name = pathlib.PurePath(value["basename"])
     path, number = folder / name.name, 1
-    while path in taken:
+    while path in used_paths:
         number += 1
         path = folder / f"{name.stem}_{number}{name.suffix}"
-    taken.add(path)
+    used_paths.add(path)
     if value["class"] == "Directory":
         path.mkdir(parents=True, exist_ok=True)
-        listing = [await _save(v, path, store, taken) for v in value.get("listing") or []]
+        listing = [await _save_outputs(v, path, store, used_paths) for v in value.get("listing") or []]
         return value | {"location": path.resolve().as_uri(), "path": str(path.resolve()), "listing": listing}
     folder.mkdir(parents=True, exist_ok=True)
     path.write_bytes(await store.get(value["location"].removeprefix(flow_messages.UPLOAD_PREFIX)))
     return value | {"location": path.resolve().as_uri(), "path": str(path.resolve())}
 
 
-def _print(reply: FlowReply) -> None:
+def _print_flow(reply: FlowReply) -> None:
     click.echo(f"{reply.ref}  {reply.state.value}  {reply.team}" + (f"  {reply.cause}" if reply.cause else ""))
     for step in reply.steps:
         count = f"  {step.done} of {step.tasks}" if step.tasks > 1 else ""
@@ -259,11 +267,11 @@
 @server_option
 @json_option
 def status(ref: str, server: str, as_json: bool) -> int:
-    """State of a workflow and of its steps."""
+    """Print the state of a workflow and of its steps."""
 
     async def work() -> int:
         reply = await Server(server).flow(ref)
-        out(reply) if as_json else _print(reply)
+        print_json(reply) if as_json else _print_flow(reply)
         return 0
 
     return run_async(work())
@@ -274,11 +282,11 @@
 @server_option
 @json_option
 def cancel(ref: str, server: str, as_json: bool) -> int:
-    """Cancel a workflow: nothing of it starts later. What has ended keeps its outputs."""
+    """Cancel a workflow: no further tasks of it start. Steps that have ended keep their outputs."""
 
     async def work() -> int:
         reply = await Server(server).reply("POST", f"/flows/{ref}/abort", b"")
-        out(reply) if as_json else click.echo(f"{reply.ref}  {reply.state.value}")
+        print_json(reply) if as_json else click.echo(f"{reply.ref}  {reply.state.value}")
         return 0 if reply.state is FlowState.CANCELLED else 1
 
     return run_async(work())
@@ -288,15 +296,15 @@
 @server_option
 @json_option
 def list_flows(server: str, as_json: bool) -> int:
-    """All workflows, by id."""
+    """Print all workflows, by id."""
 
     async def work() -> int:
-        found = await Server(server).flows()
+        flows = await Server(server).flows()
         if as_json:
-            out(found)
+            print_json(flows)
         else:
-            for reply in found:
-                _print(reply)
+            for reply in flows:
+                _print_flow(reply)
         return 0
 
     return run_async(work())
@@ -310,36 +318,36 @@
     type=click.Path(dir_okay=False, path_type=pathlib.Path),
     default="flow.svg",
     show_default=True,
-    help="the picture; its suffix says which format (svg, png, pdf)",
+    help="image file; its suffix selects the format (svg, png, pdf)",
 )
 @files_option
 @server_option
 @json_option
 def graph_(what: str, file: pathlib.Path, files: str | None, server: str, as_json: bool) -> int:
-    """A picture of the steps and the critical path: of a file, or of a workflow by its id, coloured by state."""
+    """Draw the steps and the critical path of a file, or of a workflow by its id, coloured by state."""
 
     async def work() -> int:
         if flow_messages.is_flow_ref(what):
-            nodes_ = Server(server)
-            reply = await nodes_.flow(what)
-            store = Files(*parse_addr(files or await nodes_.files(), "--files"))
+            client = Server(server)
+            reply = await client.flow(what)
+            store = Files(*parse_addr(files or await client.upload_store_address(), "--files"))
             try:
                 nodes = graph(flow_messages.parse_plan(await store.get(reply.plan)))
             except Missing:
-                raise ServerError(f"the plan of {what} is no longer there") from None
+                raise ServerError(f"the plan of {what} is no longer stored") from None
             states, title = step_states(nodes, reply.steps), f"{what}: {reply.state.value}"
         else:
-            found = read(what, None)
-            if isinstance(found, int):
-                return found
-            nodes, title = found.nodes, pathlib.Path(what).name
+            checked = check_files(what, None)
+            if isinstance(checked, int):
+                return checked
+            nodes, title = checked.nodes, pathlib.Path(what).name
             states = dict.fromkeys(nodes, "waiting")
         if as_json:
-            out(describe(nodes, states))
+            print_json(graph_data(nodes, states))
             return 0
         if file.suffix not in (".svg", ".png", ".pdf"):
             raise ServerError(f"{file}: expected a name that ends in .svg, .png or .pdf")
-        draw(nodes, states, title, file)
+        draw_graph(nodes, states, title, file)
         click.echo(f"{file} is written", err=True)
         return 0
 
--- a/winglift/cli/main.py
+++ b/winglift/cli/main.py
@@ -1,4 +1,4 @@
-"""Where the program begins."""
+"""Entry point of the command line."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """The exit code: 0, 1 failed, 2 wrong arguments or files, 33 an unsupported feature of CWL."""
+    """Returns the exit code: 0 success, 1 failure, 2 invalid arguments or files, 33 unsupported feature of CWL."""
     args = sys.argv[1:] if argv is None else argv
     if len(args) == 2 and args[0] == "--config":
-        # A controller that starts again is waited for: the command tree and its library took 60 ms of its start.
+        # Bypasses the command tree: importing it and its library delayed the start of a controller by 60 ms, and a
+        # restart should be short.
         from .serve import serve
 
         return serve(args[1], os.environ.get("WINGLIFT_SCRIPT"), os.environ.get("WINGLIFT_WORKFLOWS"), False)
-    from .tree import run
+    from .tree import run_command
 
-    return run(args)
+    return run_command(args)
--- a/winglift/cli/serve.py
+++ b/winglift/cli/serve.py
@@ -1,4 +1,4 @@
-"""`winglift serve`: one controller node, until it is stopped."""
+"""`winglift serve`: runs a controller node until it is stopped."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 
 
 def set_up_logs() -> None:
+    """Logs to standard error at the level of the variable LOG_LEVEL (default: info)."""
     level = LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
     logging.basicConfig(stream=sys.stderr, level=level, format="%(levelname)s %(name)s: %(message)s")
     logging.getLogger("asyncio").setLevel(logging.WARNING)
@@ -23,17 +24,17 @@
 
 
 def serve(config: str, script_file: str | None, workflows: str | None, check: bool) -> int:
-    """Serve, or only check the files; the exit code. What can't be used is named in one line, and the code is 2."""
+    """Runs a node, or only checks its files; returns the exit code. An invalid file is reported in one line: code 2."""
     set_up_logs()
     try:
         settings = load(config)
-        rules = script.load(script_file) if script_file else script.Script()
-        flows = None
+        operator_script = script.load(script_file) if script_file else script.Script()
+        flow_settings = None
         if workflows:
-            # Loaded only where workflows are served: a controller without them pays nothing.
-            from ..flows import settings as flow_settings
+            # Imported only if workflows are enabled, to save start time and memory otherwise.
+            from ..flows import settings as settings_module
 
-            flows = flow_settings.load(workflows)
+            flow_settings = settings_module.load(workflows)
     except (SettingsError, script.ScriptError) as err:
         print(f"winglift: {err}", file=sys.stderr)
         return 2
@@ -42,11 +43,11 @@
         return 0
     from ..node import Node
 
-    node = Node(settings, rules)
-    if flows is not None:
+    node = Node(settings, operator_script)
+    if flow_settings is not None:
         from ..flows.service import Flows
 
-        node.add_extension(Flows(flows, node))
+        node.add_extension(Flows(flow_settings, node))
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(node.run())
--- a/winglift/cli/show.py
+++ b/winglift/cli/show.py
@@ -1,4 +1,4 @@
-"""How the steps of a workflow are shown: a progress display, plain lines, a picture."""
+"""Shows the steps of a workflow: as a progress display, as lines of text, or as an image of the graph."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 }
 
 
-class Lines:
-    """A plain line for each change, on standard error."""
+class LineDisplay:
+    """Prints a line for each change of a step on standard error."""
 
     def __init__(self) -> None:
         self._shown: dict[str, str] = {}
 
-    def __enter__(self) -> Lines:
+    def __enter__(self) -> LineDisplay:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -41,8 +41,8 @@
                 print(f"{reply.ref} {step.path}: {text}", file=sys.stderr)
 
 
-class Bars:
-    """A progress display on a terminal."""
+class ProgressDisplay:
+    """Shows a progress bar for each step on a terminal."""
 
     def __init__(self) -> None:
         from rich.console import Console
@@ -58,7 +58,7 @@
         )
         self._bars: dict[str, Any] = {}
 
-    def __enter__(self) -> Bars:
+    def __enter__(self) -> ProgressDisplay:
         self._progress.start()
         return self
 
@@ -79,23 +79,25 @@
                 self._progress.stop_task(bar)
 
 
-def display() -> Lines | Bars:
-    return Bars() if sys.stderr.isatty() else Lines()
+def create_display() -> LineDisplay | ProgressDisplay:
+    """A progress display on a terminal, lines of text otherwise."""
+    return ProgressDisplay() if sys.stderr.isatty() else LineDisplay()
 
 
 def step_states(nodes: Mapping[str, Node], steps: list[StepReply]) -> dict[str, str]:
-    """A state for each step of the graph: of several instances the one that matters most."""
-    weight = ["waiting", "skipped", "done", "queued", "running", "failed"]
+    """The state of each step of the graph; of several instances of a step, the state with the highest precedence."""
+    precedence = ["waiting", "skipped", "done", "queued", "running", "failed"]
     states = dict.fromkeys(nodes, "waiting")
     for step in steps:
         path = plain(step.path)
-        if path in states and weight.index(step.state) > weight.index(states[path]):
+        if path in states and precedence.index(step.state) > precedence.index(states[path]):
             states[path] = step.state
     return states
 
 
-def describe(nodes: Mapping[str, Node], states: Mapping[str, str]) -> dict[str, Any]:
-    chain = critical(nodes)
+def graph_data(nodes: Mapping[str, Node], states: Mapping[str, str]) -> dict[str, Any]:
+    """The graph with the steps' states, as `--json` prints it."""
+    critical_path = critical(nodes)
     return {
         "steps": [
             {
@@ -104,53 +106,53 @@
                 "runS": n.run_s,
                 "scattered": n.scattered,
                 "parents": sorted(n.parents),
-                "critical": p in chain,
+                "critical": p in critical_path,
             }
             for p, n in nodes.items()
         ],
-        "critical": chain,
-        "criticalS": sum(nodes[p].run_s for p in chain),
+        "critical": critical_path,
+        "criticalS": sum(nodes[p].run_s for p in critical_path),
     }
 
 
-def draw(nodes: Mapping[str, Node], states: Mapping[str, str], title: str, file: pathlib.Path) -> None:
-    """The graph from left to right, its critical path in bold; the file's suffix says which format."""
+def draw_graph(nodes: Mapping[str, Node], states: Mapping[str, str], title: str, file: pathlib.Path) -> None:
+    """Draws the graph from left to right, the critical path in bold. The file's suffix selects the format."""
     import matplotlib
 
     matplotlib.use("Agg")
     import matplotlib.pyplot as plt
 
-    depth: dict[str, int] = {}
-    for path, node in nodes.items():  # parents come before their children
-        depth[path] = max((depth[p] + 1 for p in node.parents), default=0)
+    column_of: dict[str, int] = {}
+    for path, node in nodes.items():  # in topological order
+        column_of[path] = max((column_of[p] + 1 for p in node.parents), default=0)
     columns: dict[int, list[str]] = {}
-    for path, column in depth.items():
+    for path, column in column_of.items():
         columns.setdefault(column, []).append(path)
-    spot = {
+    positions = {
         p: (2.6 * column, -1.2 * (row - (len(paths) - 1) / 2))
         for column, paths in columns.items()
         for row, p in enumerate(paths)
     }
-    tall = max((len(paths) for paths in columns.values()), default=1)
-    figure, axes = plt.subplots(figsize=(max(5.0, 2.2 * len(columns)), max(2.2, 0.8 * tall + 1.2)))
-    chain = critical(nodes)
-    bold = set(pairwise(chain))
+    max_rows = max((len(paths) for paths in columns.values()), default=1)
+    figure, axes = plt.subplots(figsize=(max(5.0, 2.2 * len(columns)), max(2.2, 0.8 * max_rows + 1.2)))
+    critical_path = critical(nodes)
+    critical_edges = set(pairwise(critical_path))
     for path, node in nodes.items():
         for parent in node.parents:
-            heavy = (parent, path) in bold
+            is_critical = (parent, path) in critical_edges
             axes.annotate(
                 "",
-                spot[path],
-                spot[parent],
+                positions[path],
+                positions[parent],
                 arrowprops={
                     "arrowstyle": "-|>",
-                    "color": "#222222" if heavy else "#999999",
-                    "lw": 2.4 if heavy else 1.0,
+                    "color": "#222222" if is_critical else "#999999",
+                    "lw": 2.4 if is_critical else 1.0,
                     "shrinkA": 38,
                     "shrinkB": 38,
                 },
             )
-    for path, (x, y) in spot.items():
+    for path, (x, y) in positions.items():
         name = path + (" [ ]" if nodes[path].scattered else "")
         axes.text(
             x,
@@ -163,14 +165,14 @@
                 "boxstyle": "round,pad=0.5",
                 "facecolor": COLOURS[states[path]],
                 "edgecolor": "#222222",
-                "linewidth": 2.4 if path in chain else 0.8,
+                "linewidth": 2.4 if path in critical_path else 0.8,
             },
         )
     for state, colour in COLOURS.items():
         axes.scatter([], [], color=colour, edgecolors="#222222", linewidths=0.5, label=state)
     axes.legend(loc="upper center", bbox_to_anchor=(0.5, 0.0), ncols=6, fontsize=7, frameon=False)
     axes.set_title(title, fontsize=9)
-    xs, ys = [x for x, _ in spot.values()] or [0.0], [y for _, y in spot.values()] or [0.0]
+    xs, ys = [x for x, _ in positions.values()] or [0.0], [y for _, y in positions.values()] or [0.0]
     axes.set_xlim(min(xs) - 1.2, max(xs) + 1.2)
     axes.set_ylim(min(ys) - 0.9, max(ys) + 0.9)
     axes.axis("off")
