--- a/tests/test_cwl.py
+++ b/tests/test_cwl.py
@@ -1,4 +1,4 @@
-"""CWL files of our own: what is refused, with its place; what runs, against a loopback daemon, with real files."""
+"""CWL files: invalid ones are rejected with file, line and reason; valid ones run on a loopback node."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import pytest
 from flow_world import flow_world
 
-from winglift.cwl.errors import CwlError, UnsupportedFeature
+from winglift.cwl.errors import CwlError, Unsupported
 from winglift.cwl.load import check
 
 CWL = pathlib.Path(__file__).parent / "cwl"
@@ -19,7 +19,7 @@
 
 
 def file(name: str, content: str) -> dict[str, Any]:
-    """A file as the results name it, without what follows from its name."""
+    """A File object as results contain it, without the fields that derive from its name."""
     data = content.encode()
     return {
         "class": "File",
@@ -30,7 +30,7 @@
     }
 
 
-# File, order, outputs. All of them run at once in one small world.
+# Document, order, expected outputs. All of them run at the same time in one deployment.
 RUNS: list[tuple[str, dict[str, Any], dict[str, Any]]] = [
     ("words", {"a": 4, "b": "x y", "c": True, "d": False}, {"line": "first --b=x y -a 4 -c given last\n"}),
     (
@@ -90,26 +90,26 @@
     ("value_from", {"n": 4, "f": TABLE}, {"out": "5x 3 lenses"}),
 ]
 
-REFUSED = [
+REJECTED = [
     ("bad_cycle", CwlError, r"bad_cycle\.cwl:6: .*a, b depend on one another in a circle"),
     ("bad_step", CwlError, r"bad_step\.cwl:7: a/x takes nobody/out: no step or input nobody"),
     ("bad_type", CwlError, r"bad_type\.cwl:7: a/x takes n: int is not string"),
     ("bad_endless", CwlError, r"bad_endless\.cwl:7: .*did not end within 0\.5 s"),
     ("bad_script", CwlError, r"bad_script\.cwl:6: .*SyntaxError"),
     ("bad_name", CwlError, r"bad_name\.cwl:5: .*no input lense"),
-    ("left_secondary", UnsupportedFeature, r"left_secondary\.cwl:6: secondaryFiles"),
-    ("left_shell", UnsupportedFeature, r"left_shell\.cwl:5: ShellCommandRequirement"),
-    ("left_schemas", UnsupportedFeature, r"left_schemas\.cwl:3: \$schemas"),
-    ("left_outside", UnsupportedFeature, r"left_outside\.cwl:7: run: https://elsewhere"),
-    ("left_version", UnsupportedFeature, r"left_version\.cwl:1: cwlVersion v1\.0"),
+    ("left_secondary", Unsupported, r"left_secondary\.cwl:6: secondaryFiles"),
+    ("left_shell", Unsupported, r"left_shell\.cwl:5: ShellCommandRequirement"),
+    ("left_schemas", Unsupported, r"left_schemas\.cwl:3: \$schemas"),
+    ("left_outside", Unsupported, r"left_outside\.cwl:7: run: https://elsewhere"),
+    ("left_version", Unsupported, r"left_version\.cwl:1: cwlVersion v1\.0"),
 ]
 
 
-@pytest.mark.parametrize(("name", "kind", "text"), REFUSED)
-def test_a_faulty_file_is_refused_with_file_line_and_reason(name, kind, text):
-    with pytest.raises(CwlError, match=text) as found:
+@pytest.mark.parametrize(("name", "kind", "text"), REJECTED)
+def test_an_invalid_document_is_rejected_with_file_line_and_reason(name, kind, text):
+    with pytest.raises(CwlError, match=text) as raised:
         check(str(CWL / f"{name}.cwl"), None)
-    assert type(found.value) is kind
+    assert type(raised.value) is kind
 
 
 @pytest.mark.parametrize(
@@ -123,21 +123,21 @@
         ("n: [1\n", r"order\.yml:\d: not YAML"),
     ],
 )
-def test_a_faulty_order_is_refused_with_file_line_and_reason(tmp_path, order, text):
+def test_an_invalid_order_is_rejected_with_file_line_and_reason(tmp_path, order, text):
     path = tmp_path / "order.yml"
     path.write_text(order)
     with pytest.raises(CwlError, match=text):
         check(str(CWL / "value_from.cwl"), str(path))
 
 
-def bare(value: Any) -> Any:
-    """Results without what follows from a file's name."""
+def without_name_parts(value: Any) -> Any:
+    """A result without the fields that derive from a file's name."""
     if isinstance(value, dict):
-        return {k: bare(v) for k, v in value.items() if k not in ("nameroot", "nameext")}
-    return [bare(v) for v in value] if isinstance(value, list) else value
+        return {k: without_name_parts(v) for k, v in value.items() if k not in ("nameroot", "nameext")}
+    return [without_name_parts(v) for v in value] if isinstance(value, list) else value
 
 
-def test_each_file_gives_its_outputs_on_a_loopback_daemon(tmp_path):
+def test_each_document_yields_its_outputs_on_a_loopback_node(tmp_path):
     async def scenario() -> None:
         async with flow_world(tmp_path) as w:
             refs = []
@@ -145,9 +145,9 @@
                 path = tmp_path / f"{number}.yml"
                 path.write_bytes(msgspec.json.encode(order))
                 refs.append(await w.submit(check(str(CWL / f"{name}.cwl"), str(path)), f"fl-{number}"))
-            found = await asyncio.gather(*(w.outputs(ref) for ref in refs))
-            for (name, order, wanted), made in zip(RUNS, found, strict=True):
-                assert bare(made) == wanted, (name, order)
+            results = await asyncio.gather(*(w.outputs(ref) for ref in refs))
+            for (name, order, expected), outputs in zip(RUNS, results, strict=True):
+                assert without_name_parts(outputs) == expected, (name, order)
             image = next(s for s in w.specs() if s["bundle"] == "optics/surface:3")
             assert (image["jobClass"], image["urgency"], image["loaner"], image["gpus"], image["expectedS"]) == (
                 "surfacing",
--- a/winglift/cli/flow.py
+++ b/winglift/cli/flow.py
@@ -37,12 +37,12 @@
 
 def check_files(plan: str, order: str | None):  # type: ignore[no-untyped-def]
     """Checks a document and an order. Returns the checked workflow, or an exit code after an error."""
-    from ..cwl.errors import CwlError, UnsupportedFeature
+    from ..cwl.errors import CwlError, Unsupported
     from ..cwl.load import check
 
     try:
         return check(plan, order)
-    except UnsupportedFeature as err:
+    except Unsupported as err:
         print(f"winglift: unsupported: {err}", file=sys.stderr)
         return EXIT_UNSUPPORTED
     except CwlError as err:
--- a/winglift/cwl/convert.py
+++ b/winglift/cwl/convert.py
@@ -10,7 +10,7 @@
 from schema_salad.exceptions import SchemaSaladException
 
 from ..wire import flows as flow_messages
-from .errors import CwlError, SourceLocator, UnsupportedFeature, validation_message
+from .errors import CwlError, SourceLocator, Unsupported, validation_message
 from .order import FileResolver
 from .requirements import (
     Requirements,
@@ -70,9 +70,7 @@
     def convert_process(self, document: Any, key: str, requirements: Requirements, file: str) -> None:
         """Adds a process, and those that its steps run, to `processes` under `key`."""
         if not is_process(document):
-            raise UnsupportedFeature(
-                f"{self._locator.locate(file, 'class')}: class {getattr(document, 'class_', document)}"
-            )
+            raise Unsupported(f"{self._locator.locate(file, 'class')}: class {getattr(document, 'class_', document)}")
         if document.id and document.id.startswith("file://"):
             file = unquote(urlparse(document.id).path)
 
--- a/winglift/cwl/errors.py
+++ b/winglift/cwl/errors.py
@@ -42,7 +42,7 @@
     """A document or an order is invalid: exit code 1."""
 
 
-class UnsupportedFeature(CwlError):
+class Unsupported(CwlError):
     """A document or an order uses an unsupported feature: exit code 33."""
 
 
--- a/winglift/cwl/load.py
+++ b/winglift/cwl/load.py
@@ -21,7 +21,7 @@
 from ..flows.values import FlowError
 from ..wire.flows import Expression, Plan, Tool, Workflow, parse_plan
 from .convert import Converter
-from .errors import CwlError, SourceLocator, UnsupportedFeature, validation_message
+from .errors import CwlError, SourceLocator, Unsupported, validation_message
 from .links import check_types
 from .order import FileResolver, read_order
 from .types import to_plain_data
@@ -54,7 +54,7 @@
 def _reject_external_references(
     value: Any, file: str, locator: SourceLocator, scanned_files: set[str], callers: tuple[str, ...]
 ) -> None:
-    """Raises UnsupportedFeature for a reference that the parser would fetch; scans the local files that steps run."""
+    """Raises Unsupported for a reference that the parser would fetch; scans the local files that steps run."""
     if isinstance(value, list):
         for element in value:
             _reject_external_references(element, file, locator, scanned_files, callers)
@@ -62,12 +62,12 @@
         return
     for key, child in value.items():
         if key == "$schemas":
-            raise UnsupportedFeature(f"{locator.locate(file, '$schemas')}: $schemas: {child}")
+            raise Unsupported(f"{locator.locate(file, '$schemas')}: $schemas: {child}")
         if key in ("run", "$import", "$include", "$mixin") and isinstance(child, str):
             if "://" in child and not child.startswith("file://"):
-                raise UnsupportedFeature(f"{locator.locate(file, child)}: {key}: {child} is not a local file")
+                raise Unsupported(f"{locator.locate(file, child)}: {key}: {child} is not a local file")
             if key != "run":
-                raise UnsupportedFeature(f"{locator.locate(file, key)}: {key}")
+                raise Unsupported(f"{locator.locate(file, key)}: {key}")
             path = child.removeprefix("file://").partition("#")[0]
             if path:
                 target = str((pathlib.Path(file).parent / path).resolve())
@@ -91,9 +91,9 @@
         raise CwlError(f"{file}: not a CWL document")
     version = content.get("cwlVersion")
     if version is not None and version != "v1.2":
-        raise UnsupportedFeature(f"{locator.locate(file, 'cwlVersion')}: cwlVersion {version}; v1.2 is supported")
+        raise Unsupported(f"{locator.locate(file, 'cwlVersion')}: cwlVersion {version}; v1.2 is supported")
     if "$graph" in content:
-        raise UnsupportedFeature(f"{locator.locate(file, '$graph')}: $graph")
+        raise Unsupported(f"{locator.locate(file, '$graph')}: $graph")
     _reject_external_references(content, file, locator, scanned_files, (*callers, file))
 
 
@@ -216,7 +216,7 @@
 
 
 def check(file: str, order_file: str | None) -> Checked:
-    """Reads and checks a document and an order (None: inputs are not checked). Raises CwlError and UnsupportedFeature
+    """Reads and checks a document and an order (None: inputs are not checked). Raises CwlError and Unsupported
     with file, line and reason."""
     locator, resolver = SourceLocator(), FileResolver()
     path = str(pathlib.Path(file).resolve())
--- a/winglift/cwl/order.py
+++ b/winglift/cwl/order.py
@@ -9,7 +9,7 @@
 
 from ..flows.values import describe, fits
 from ..wire.flows import UPLOAD_PREFIX, Param
-from .errors import CwlError, SourceLocator, UnsupportedFeature
+from .errors import CwlError, SourceLocator, Unsupported
 from .types import UNSUPPORTED_FIELDS
 
 
@@ -43,13 +43,13 @@
             raise CwlError(f"{source_line}: a {value['class']} without path, location, contents or listing")
         url = urlparse(location)
         if url.scheme not in ("", "file"):
-            raise UnsupportedFeature(f"{source_line}: {location}: not a local file")
+            raise Unsupported(f"{source_line}: {location}: not a local file")
         return pathlib.Path(file).parent / unquote(url.path if url.scheme else location)
 
     def _resolve_file(self, value: dict[str, Any], file: str, source_line: str) -> dict[str, Any]:
         for feature in UNSUPPORTED_FIELDS:
             if value.get(feature):
-                raise UnsupportedFeature(f"{source_line}: {feature}")
+                raise Unsupported(f"{source_line}: {feature}")
         if isinstance(value.get("contents"), str):
             content, name = value["contents"].encode(), value.get("basename") or "contents"
         else:
@@ -100,7 +100,7 @@
         raise CwlError(f"{file}: expected an object of inputs")
     for name in content:
         if str(name).startswith("cwl:"):
-            raise UnsupportedFeature(f"{locator.locate(file, str(name))}: {name}")
+            raise Unsupported(f"{locator.locate(file, str(name))}: {name}")
     order: dict[str, Any] = {}
     for param in params:
         source_line = locator.locate(file, param.name)
--- a/winglift/cwl/requirements.py
+++ b/winglift/cwl/requirements.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ..wire.flows import Hints, WorkDirEntry
-from .errors import CwlError, UnsupportedFeature
+from .errors import CwlError, Unsupported
 
 NAMESPACE = "winglift:"
 WINGLIFT_HINT = f"{NAMESPACE}Job"
@@ -67,7 +67,7 @@
             if name == "LoadListingRequirement" and getattr(requirement, "loadListing", None) == "no_listing":
                 continue
             if name not in SUPPORTED_REQUIREMENTS:
-                raise UnsupportedFeature(f"{locate(name)}: {name}")
+                raise Unsupported(f"{locate(name)}: {name}")
             required[name] = requirement
         for hint in process.hints or []:
             hinted[class_of(hint)] = hint
@@ -146,7 +146,7 @@
     if isinstance(ram, str):
         # CWL gives RAM in MiB, plans hold GB. Only JavaScript can divide the expression by 1024.
         if not requirements.javascript:
-            raise UnsupportedFeature(f"{locate('ramMin')}: ramMin: an expression without InlineJavascriptRequirement")
+            raise Unsupported(f"{locate('ramMin')}: ramMin: an expression without InlineJavascriptRequirement")
         expression = f"({ram[2:-1]})" if ram.startswith("$(") else f"(function() {{{ram[2:-1]}}})()"
         requested["memory_gb"] = f"$({expression} / 1024)"
     elif ram is not None:
@@ -179,7 +179,7 @@
         return "none"
     for feature in ("dockerLoad", "dockerFile", "dockerImport", "dockerOutputDirectory"):
         if field_of(requirement, feature):
-            raise UnsupportedFeature(f"{locate(feature)}: {feature}")
+            raise Unsupported(f"{locate(feature)}: {feature}")
     return field_of(requirement, "dockerPull") or field_of(requirement, "dockerImageId") or "none"
 
 
@@ -198,7 +198,7 @@
         elif field_of(entry, "entry") is not None:
             entries.append(WorkDirEntry(field_of(entry, "entry"), field_of(entry, "entryname")))
         else:
-            raise UnsupportedFeature(
+            raise Unsupported(
                 f"{locate('InitialWorkDirRequirement')}: a File or Directory object in listing; "
                 "use an entry with entryname instead"
             )
--- a/winglift/cwl/types.py
+++ b/winglift/cwl/types.py
@@ -8,7 +8,7 @@
 from cwl_utils.parser import cwl_v1_2 as cwl
 
 from ..wire.flows import Binding
-from .errors import CwlError, UnsupportedFeature
+from .errors import CwlError, Unsupported
 
 BASIC_TYPES = {"null", "boolean", "int", "long", "float", "double", "string", "File", "Directory", "Any"}
 UNSUPPORTED_FIELDS = ("secondaryFiles", "format")
@@ -29,11 +29,11 @@
 
 
 def reject_features(part: Any, features: Iterable[str], locate: Callable[..., str], *tokens: str) -> None:
-    """Raises UnsupportedFeature with the source line if a part of a document uses one of these features."""
+    """Raises Unsupported with the source line if a part of a document uses one of these features."""
     for feature in features:
         value = getattr(part, feature, None)
         if value and (feature, value) != ("loadListing", "no_listing"):
-            raise UnsupportedFeature(f"{locate(*tokens, feature)}: {feature}")
+            raise Unsupported(f"{locate(*tokens, feature)}: {feature}")
 
 
 def short_name(identifier: str) -> str:
@@ -51,7 +51,7 @@
             return cwl_type
         if short_name(cwl_type) in BASIC_TYPES:
             return short_name(cwl_type)
-        raise UnsupportedFeature(f"{source_line}: type {cwl_type} (SchemaDefRequirement)")
+        raise Unsupported(f"{source_line}: type {cwl_type} (SchemaDefRequirement)")
     name = getattr(cwl_type, "type_", None)
     if name == "array":
         return {"array": convert_type(cwl_type.items, source_line)}
@@ -61,7 +61,7 @@
         for field in cwl_type.fields or []:
             reject_features(field, UNSUPPORTED_FIELDS, lambda *_: source_line)
             if getattr(field, "outputBinding", None):
-                raise UnsupportedFeature(f"{source_line}: outputBinding of a record's field")
+                raise Unsupported(f"{source_line}: outputBinding of a record's field")
         return {
             "record": {
                 short_name(member.name): convert_type(member.type_, source_line) for member in cwl_type.fields or []
@@ -80,7 +80,7 @@
     if input_binding is None:
         return None
     if getattr(input_binding, "shellQuote", None) is False:
-        raise UnsupportedFeature(f"{source_line}: shellQuote: false (ShellCommandRequirement)")
+        raise Unsupported(f"{source_line}: shellQuote: false (ShellCommandRequirement)")
     position = getattr(input_binding, "position", None)
     return Binding(
         0 if position is None else position,
@@ -101,14 +101,14 @@
                 if getattr(item_schema, "inputBinding", None) or any(
                     getattr(f, "inputBinding", None) for f in getattr(item_schema, "fields", None) or []
                 ):
-                    raise UnsupportedFeature(f"{source_line}: inputBinding inside of an array's elements")
+                    raise Unsupported(f"{source_line}: inputBinding inside of an array's elements")
         elif schema.type_ == "record":
             for field in schema.fields or []:
                 binding = convert_binding(field.inputBinding, source_line)
                 if binding is not None:
                     fields[short_name(field.name)] = binding
                 if any(getattr(s, "inputBinding", None) for s in inline_schemas(field.type_)):
-                    raise UnsupportedFeature(f"{source_line}: inputBinding inside of a record's field")
+                    raise Unsupported(f"{source_line}: inputBinding inside of a record's field")
     return items, fields
 
 
