--- a/winglift/cli/client.py
+++ b/winglift/cli/client.py
@@ -57,7 +57,7 @@
         return _decode(flow_messages.reply_decoder, await self.request_ok(method, path, body))
 
     async def request_ok(self, method: str, path: str, body: bytes | None = None) -> Reply:
-        """Sends a request as `ask` does, and raises ServerError unless the status of the reply is 200 or 201."""
+        """Like `ask`, but raises ServerError unless the status of the reply is 200 or 201."""
         reply = await self.ask(method, path, body)
         if reply.status not in (200, 201):
             raise ServerError(f"{reply.status}: {_error_text(reply)}")
