--- a/winglift/cli/client.py
+++ b/winglift/cli/client.py
@@ -18,7 +18,7 @@
     """A request was rejected, or no node answered in time."""
 
 
-class Server:
+class ControllerClient:
     """Sends requests to one of several nodes; any node answers, and after a failure the next one is tried."""
 
     def __init__(self, addresses: str, timeout_s: float = constants.CLIENT_RETRY_TIMEOUT_S) -> None:
@@ -30,7 +30,7 @@
         self._node_index = 0
         self._timeout_s = timeout_s
 
-    async def ask(self, method: str, path: str, body: bytes | None = None) -> Reply:
+    async def request_with_retry(self, method: str, path: str, body: bytes | None = None) -> Reply:
         """Sends a request until there is a final reply. Repeats it after status 429, 503 or 504 and without a reply.
         Raises ServerError if there is none within the timeout."""
         deadline = time.monotonic() + self._timeout_s
@@ -57,8 +57,8 @@
         return _decode(flow_messages.reply_decoder, await self.request_ok(method, path, body))
 
     async def request_ok(self, method: str, path: str, body: bytes | None = None) -> Reply:
-        """Like `ask`, but raises ServerError unless the status of the reply is 200 or 201."""
-        reply = await self.ask(method, path, body)
+        """Like `request_with_retry`, but raises ServerError unless the status of the reply is 200 or 201."""
+        reply = await self.request_with_retry(method, path, body)
         if reply.status not in (200, 201):
             raise ServerError(f"{reply.status}: {_error_text(reply)}")
         return reply
--- a/winglift/cli/flow.py
+++ b/winglift/cli/flow.py
@@ -15,12 +15,12 @@
 
 from .. import constants
 from ..config.settings import parse_addr
-from ..flows.files import Files, FilesError, Missing
+from ..flows.files import UploadNotFound, UploadStoreClient, UploadStoreError
 from ..flows.graph import graph
 from ..flows.values import FlowError
 from ..wire import flows as flow_messages
 from ..wire.flows import FlowReply, FlowState
-from .client import Server, ServerError
+from .client import ControllerClient, ServerError
 from .show import create_display, draw_graph, graph_data, step_states
 
 EXIT_UNSUPPORTED = 33
@@ -30,7 +30,7 @@
     """Runs a command; returns its exit code. Errors are printed as one line on standard error."""
     try:
         return asyncio.run(work)
-    except (ServerError, FilesError, FlowError, flow_messages.InvalidMessage) as err:
+    except (ServerError, UploadStoreError, FlowError, flow_messages.InvalidMessage) as err:
         print(f"winglift: {err}", file=sys.stderr)
         return 1
 
@@ -126,7 +126,7 @@
 
 async def _submit(
     checked: Any,
-    client: Server,
+    client: ControllerClient,
     ref: str | None,
     team: str | None,
     due: float | None,
@@ -137,7 +137,7 @@
     team = team or hints.team
     if team is None:
         raise ServerError("no team: give --team, or the hint winglift:Job with team in the workflow")
-    store = Files(*parse_addr(files or await client.upload_store_address(), "--files"))
+    store = UploadStoreClient(*parse_addr(files or await client.upload_store_address(), "--files"))
     for content in checked.blobs.values():
         await store.put(content)
     plan, order = (
@@ -172,7 +172,7 @@
         return checked
 
     async def work() -> int:
-        reply = await _submit(checked, Server(server), ref, team, due, reuse, files)
+        reply = await _submit(checked, ControllerClient(server), ref, team, due, reuse, files)
         print_json(reply) if as_json else click.echo(reply.ref)
         return 0
 
@@ -201,7 +201,7 @@
         return checked
 
     async def work() -> int:
-        client = Server(server)
+        client = ControllerClient(server)
         reply = await _submit(checked, client, ref, team, due, reuse, files)
         click.echo(f"{reply.ref} is accepted; it continues if this command ends", err=True)
         with create_display() as progress:
@@ -218,13 +218,13 @@
     return run_async(work())
 
 
-async def _print_result(reply: FlowReply, client: Server, files: str | None, outdir: str | None) -> int:
+async def _print_result(reply: FlowReply, client: ControllerClient, files: str | None, outdir: str | None) -> int:
     if reply.state is not FlowState.DONE or reply.outputs is None:
         click.echo(f"winglift: {reply.ref} {reply.state.value}: {reply.cause or 'by its user'}", err=True)
         if reply.errors:
             click.echo(reply.errors.rstrip("\n"), err=True)
         return 1
-    store = Files(*parse_addr(files or await client.upload_store_address(), "--files"))
+    store = UploadStoreClient(*parse_addr(files or await client.upload_store_address(), "--files"))
     outputs = msgspec.json.decode(await store.get(reply.outputs))
     if outdir is not None:
         outputs = await _save_outputs(outputs, pathlib.Path(outdir), store, set())
@@ -232,7 +232,9 @@
     return 0
 
 
-async def _save_outputs(value: Any, folder: pathlib.Path, store: Files, used_paths: set[pathlib.Path]) -> Any:
+async def _save_outputs(
+    value: Any, folder: pathlib.Path, store: UploadStoreClient, used_paths: set[pathlib.Path]
+) -> Any:
     """Writes the files of a value to a folder; returns the value with their paths. Duplicate names get a number."""
     if isinstance(value, list):
         return [await _save_outputs(v, folder, store, used_paths) for v in value]
@@ -270,7 +272,7 @@
     """Print the state of a workflow and of its steps."""
 
     async def work() -> int:
-        reply = await Server(server).flow(ref)
+        reply = await ControllerClient(server).flow(ref)
         print_json(reply) if as_json else _print_flow(reply)
         return 0
 
@@ -285,7 +287,7 @@
     """Cancel a workflow: no further tasks of it start. Steps that have ended keep their outputs."""
 
     async def work() -> int:
-        reply = await Server(server).reply("POST", f"/flows/{ref}/abort", b"")
+        reply = await ControllerClient(server).reply("POST", f"/flows/{ref}/abort", b"")
         print_json(reply) if as_json else click.echo(f"{reply.ref}  {reply.state.value}")
         return 0 if reply.state is FlowState.CANCELLED else 1
 
@@ -299,7 +301,7 @@
     """Print all workflows, by id."""
 
     async def work() -> int:
-        flows = await Server(server).flows()
+        flows = await ControllerClient(server).flows()
         if as_json:
             print_json(flows)
         else:
@@ -328,12 +330,12 @@
 
     async def work() -> int:
         if flow_messages.is_flow_ref(what):
-            client = Server(server)
+            client = ControllerClient(server)
             reply = await client.flow(what)
-            store = Files(*parse_addr(files or await client.upload_store_address(), "--files"))
+            store = UploadStoreClient(*parse_addr(files or await client.upload_store_address(), "--files"))
             try:
                 nodes = graph(flow_messages.parse_plan(await store.get(reply.plan)))
-            except Missing:
+            except UploadNotFound:
                 raise ServerError(f"the plan of {what} is no longer stored") from None
             states, title = step_states(nodes, reply.steps), f"{what}: {reply.state.value}"
         else:
--- a/winglift/cli/serve.py
+++ b/winglift/cli/serve.py
@@ -45,9 +45,9 @@
 
     node = Node(settings, operator_script)
     if flow_settings is not None:
-        from ..flows.service import Flows
+        from ..flows.service import FlowService
 
-        node.add_extension(Flows(flow_settings, node))
+        node.add_extension(FlowService(flow_settings, node))
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(node.run())
--- a/winglift/cli/trial.py
+++ b/winglift/cli/trial.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from .. import constants
-from .client import Server, ServerError
+from .client import ControllerClient, ServerError
 
 DEMO_JOBS: list[tuple[str, dict[str, Any]]] = [
     ("wk-1", {"pieces": 6}),
@@ -52,12 +52,12 @@
 def trial(nodes: str, demo: bool) -> int:
     """Start stand-ins and controllers on loopback, and print their addresses. Machines are simulated."""
     try:
-        from standins import trial as stage
+        from standins import trial as local_services
     except ModuleNotFoundError:
         raise click.ClickException("the stand-ins are part of the repository: run this command in a checkout") from None
     with tempfile.TemporaryDirectory(prefix="winglift-") as folder:
         try:
-            return asyncio.run(_run_services(stage, pathlib.Path(folder), int(nodes), demo))
+            return asyncio.run(_run_services(local_services, pathlib.Path(folder), int(nodes), demo))
         except ServerError as err:
             print(f"winglift: {err}", file=sys.stderr)
             return 1
@@ -65,7 +65,7 @@
             return 0
 
 
-async def _run_services(stage: Any, folder: pathlib.Path, count: int, demo: bool) -> int:
+async def _run_services(local_services: Any, folder: pathlib.Path, count: int, demo: bool) -> int:
     # Workers and nodes are stopped at the same time here; their errors about lost connections are of no use.
     logging.getLogger("tornado.application").setLevel(logging.CRITICAL)
     flows_installed = importlib.util.find_spec("quickjs") is not None
@@ -73,7 +73,7 @@
     current_task = asyncio.current_task()
     assert current_task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, current_task.cancel)
-    services = stage.Stage(count, lambda task: 1.0, folder / "tasks" if flows_installed else None)
+    services = local_services.LocalServices(count, lambda task: 1.0, folder / "tasks" if flows_installed else None)
     workflows = folder / "workflows.toml"
     workflows.write_text(services.workflows())
     environment = os.environ | {
@@ -88,7 +88,7 @@
             command = [sys.executable, "-m", "winglift", "serve", "--config", str(config)]
             command += ["--workflows", str(workflows)] if flows_installed else []
             processes.append(await asyncio.create_subprocess_exec(*command, env=environment))
-        client = Server(",".join(services.addresses), constants.TRY_TIMEOUT_S)
+        client = ControllerClient(",".join(services.addresses), constants.TRY_TIMEOUT_S)
         await _wait_until_up(client, processes)
         for address, process in zip(services.addresses, processes, strict=True):
             click.echo(f"controller on {address}, process {process.pid}", err=True)
@@ -106,16 +106,16 @@
         await services.stop()
 
 
-async def _wait_until_up(client: Server, processes: list[asyncio.subprocess.Process]) -> None:
+async def _wait_until_up(client: ControllerClient, processes: list[asyncio.subprocess.Process]) -> None:
     """Waits until a controller reports that it is up. Raises ServerError if a process ends or time runs out."""
     deadline = time.monotonic() + constants.TRY_TIMEOUT_S
-    while (await client.ask("GET", "/up")).status != 200:
+    while (await client.request_with_retry("GET", "/up")).status != 200:
         if time.monotonic() > deadline or any(p.returncode is not None for p in processes):
             raise ServerError("the controllers did not start")
         await asyncio.sleep(0.2)
 
 
-async def _run_demo(client: Server, services: Any, environment: dict[str, str], flows_installed: bool) -> int:
+async def _run_demo(client: ControllerClient, services: Any, environment: dict[str, str], flows_installed: bool) -> int:
     """Runs jobs of every kind, and a workflow if its libraries are installed. Returns the exit code."""
     for ref, changes in DEMO_JOBS:
         await client.request_ok("POST", "/work", msgspec.json.encode(JOB_DEFAULTS | {"ref": ref} | changes))
--- a/winglift/cwl/links.py
+++ b/winglift/cwl/links.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ..flows.values import describe
+from ..flows.values import describe_type
 from ..wire.flows import FlowOutput, Plan, Step, StepInput, Workflow
 from .errors import CwlError, SourceLocator
 
@@ -115,5 +115,5 @@
     if not is_assignable(source_type, sink_type):
         raise CwlError(
             f"{source_line}: {name} takes {', '.join(sink.source)}: "
-            f"{describe(source_type)} is not {describe(sink_type)}"
+            f"{describe_type(source_type)} is not {describe_type(sink_type)}"
         )
--- a/winglift/cwl/load.py
+++ b/winglift/cwl/load.py
@@ -14,9 +14,9 @@
 from schema_salad.exceptions import SchemaSaladException
 from schema_salad.utils import yaml_no_ts
 
-from ..flows.command import Builder
-from ..flows.engine import Engine, Needs
-from ..flows.expressions import Endless, Engines, Evaluator, ExpressionError, needs_evaluation
+from ..flows.command import TaskBuilder
+from ..flows.engine import ContentNeeded, Engine
+from ..flows.expressions import Evaluator, ExpressionError, ExpressionTimeout, JavaScriptEngine, needs_evaluation
 from ..flows.graph import Node, graph
 from ..flows.values import FlowError
 from ..wire.flows import Expression, Plan, Tool, Workflow, parse_plan
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Checked:
+class CheckedWorkflow:
     """A plan and an order that passed all checks, the graph's nodes by step path, and the contents to be uploaded."""
 
     plan: Plan
@@ -148,7 +148,7 @@
 def _try_expressions(plan: Plan, source_files: dict[str, str], locator: SourceLocator) -> None:
     """Tries every expression on sample values. Timeouts and syntax errors are errors of the document; other failures
     may be due to the sample values and are ignored."""
-    engines = Engines(EXPRESSION_CPU_LIMIT_S)
+    javascript_engine = JavaScriptEngine(EXPRESSION_CPU_LIMIT_S)
     for key, process in plan.processes.items():
         file = source_files[key]
         known_inputs = {p.name for p in process.inputs}
@@ -158,7 +158,7 @@
                 known_inputs |= {s.name for s in step.inputs}
                 param_types = {p.name: p.type for p in plan.processes[step.run].inputs}
                 inputs |= {s.name: sample_value(param_types.get(s.name, "Any")) for s in step.inputs}
-        evaluate = Evaluator(engines, process.javascript, process.library)
+        evaluate = Evaluator(javascript_engine, process.javascript, process.library)
         for text in _expression_texts(process):
             excerpt = text.splitlines()[0][:60]
             source_line = locator.locate_text(file, excerpt) or locator.locate(
@@ -185,7 +185,7 @@
                             },
                         },
                     )
-                except Endless as err:
+                except ExpressionTimeout as err:
                     raise CwlError(f"{source_line}: {err}") from None
                 except ExpressionError as err:
                     if any(
@@ -194,28 +194,28 @@
                         raise CwlError(f"{source_line}: {err}") from None
 
 
-def _try_start(checked: Checked) -> None:
+def _try_start(checked: CheckedWorkflow) -> None:
     """Starts the workflow as the leader does, and builds the commands of its first steps, so that their errors show."""
-    engine = Engine(checked.plan, checked.order, Engines(EXPRESSION_CPU_LIMIT_S))
+    engine = Engine(checked.plan, checked.order, JavaScriptEngine(EXPRESSION_CPU_LIMIT_S))
     advance_engine: Callable[[], object] = engine.start
     while True:
         try:
             advance_engine()
-            advance_engine = engine.go
+            advance_engine = engine.advance
             advance_engine()
             break
-        except Needs as need:
+        except ContentNeeded as need:
             engine.contents[need.digest] = checked.blobs[need.digest].decode(errors="replace")
-    for leaf in engine.take():
+    for leaf in engine.take_ready():
         process = checked.plan.processes[leaf.process]
         if isinstance(process, Tool):
             for inputs in leaf.elements[:10]:
-                Builder(process, inputs, engine.evaluator(leaf.process), leaf.path).build()
+                TaskBuilder(process, inputs, engine.evaluator(leaf.process), leaf.path).build()
         elif isinstance(process, Expression):
             engine.evaluate(leaf)
 
 
-def check(file: str, order_file: str | None) -> Checked:
+def check(file: str, order_file: str | None) -> CheckedWorkflow:
     """Reads and checks a document and an order (None: inputs are not checked). Raises CwlError and Unsupported
     with file, line and reason."""
     locator, resolver = SourceLocator(), FileResolver()
@@ -245,7 +245,7 @@
     main = plan.processes[plan.main]
     if order_file is not None:
         order = read_order(read_yaml(order_file), order_file, main.inputs, resolver, locator)
-    checked = Checked(plan, order, nodes, resolver.blobs)
+    checked = CheckedWorkflow(plan, order, nodes, resolver.blobs)
     if order_file is not None:
         try:
             _try_start(checked)
