--- a/tests/test_kinds.py
+++ b/tests/test_kinds.py
@@ -173,7 +173,7 @@
 def test_what_is_rented_is_never_dearer_than_what_is_available_with_the_same_lateness(snap):
     for one in snap.demands:
         renting = Renting(snap, policy_snapshot.Plan(), [])
-        choices = renting._choices(one, {})
+        choices = renting._rental_choices(one, {})
         taken = renting.rent(one, {})
         if taken is None:
             assert not choices
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -187,7 +187,7 @@
             if found is None:
                 break
             found.allocate(demand.spec)
-            search.changed(found)
+            search.reinsert(found)
             placed[found.zone] = placed.get(found.zone, 0) + 1
 
 
@@ -216,7 +216,7 @@
             if found is None:
                 break
             found.allocate(demand.spec)
-            candidates.changed(found)
+            candidates.reinsert(found)
             placed[found.zone] = placed.get(found.zone, 0) + 1
 
 
--- a/winglift/policy/cost_model.py
+++ b/winglift/policy/cost_model.py
@@ -33,8 +33,8 @@
 
 def task_price(spec: Submission, mtype: MachineType, spot: bool) -> float:
     """The price per hour of one task's share of such a machine."""
-    hourly = mtype.spot_price if spot and mtype.spot_price is not None else mtype.price
-    return hourly * machine_share(spec, mtype)
+    hourly_price = mtype.spot_price if spot and mtype.spot_price is not None else mtype.price
+    return hourly_price * machine_share(spec, mtype)
 
 
 def ready_s(spec: Submission, mtype: MachineType) -> float:
@@ -55,8 +55,9 @@
 
 def too_expensive(spec: Submission, mtype: MachineType, types: Iterable[MachineType], spot: bool) -> bool:
     """Whether a task costs so much more there than on the cheapest type of this kind that waiting is better."""
-    least = cheapest_type(spec, types, spot)
+    cheapest = cheapest_type(spec, types, spot)
     return (
-        least is not None
-        and task_price(spec, mtype, spot) > constants.PRICE_RATIO_MAX * task_price(spec, least, spot) + AMOUNT_TOLERANCE
+        cheapest is not None
+        and task_price(spec, mtype, spot)
+        > constants.PRICE_RATIO_MAX * task_price(spec, cheapest, spot) + AMOUNT_TOLERANCE
     )
--- a/winglift/policy/gangs.py
+++ b/winglift/policy/gangs.py
@@ -11,7 +11,7 @@
 from .snapshot import Demand, FreeCapacity, Victim, fetch_s
 
 
-class Option(NamedTuple):
+class MachineOption(NamedTuple):
     """One machine that a task of a gang could use."""
 
     cost: float  # s: work lost by preemption, and fetch
@@ -32,10 +32,10 @@
 
     def __init__(self, placement: PlacementState) -> None:
         self.placement = placement
-        self._chosen: dict[Hashable, dict[str, tuple[int, list[Victim] | None]]] = {}
-        self._displaced = 0.0  # GPUs of work within guarantees that this cycle displaces
+        self._cached_victims: dict[Hashable, dict[str, tuple[int, list[Victim] | None]]] = {}
+        self._displaced_gpus = 0.0  # GPUs of work within guarantees that this cycle displaces
 
-    def _zones(self, demand: Demand) -> list[str | None]:
+    def _candidate_zones(self, demand: Demand) -> list[str | None]:
         """Where the whole gang may go: each zone by itself, the one with most free GPUs first, or anywhere (None)."""
         if not demand.spec.one_zone:
             return [None]
@@ -47,7 +47,7 @@
         by_free_gpus = sorted(free, key=lambda zone: (-free[zone], zone))
         return list(by_free_gpus)
 
-    def _allowed(self, demand: Demand, capacities: list[FreeCapacity]) -> dict[str | None, list[FreeCapacity]]:
+    def _allowed_by_zone(self, demand: Demand, capacities: list[FreeCapacity]) -> dict[str | None, list[FreeCapacity]]:
         """The machines that the gang's job allows, per zone, or all under None."""
         found: dict[str | None, list[FreeCapacity]] = {}
         for capacity in capacities:
@@ -71,23 +71,29 @@
             stage,
         )
 
-    def allocate_all(self, demand: Demand, soon: bool, include_booting: bool = False) -> list[FreeCapacity] | None:
+    def allocate_all(
+        self, demand: Demand, after_stops: bool, include_booting: bool = False
+    ) -> list[FreeCapacity] | None:
         """Allocate places for all tasks of a gang, or nothing (None)."""
         placement, spec, tasks = self.placement, demand.spec, len(demand.indices)
-        where = self._search_key(demand, placement.search_stage(soon, include_booting))
-        if placement.failed_searches.known_to_fail(where, spec, tasks):
+        search_key = self._search_key(demand, placement.search_stage(after_stops, include_booting))
+        if placement.failed_searches.known_to_fail(search_key, spec, tasks):
             return None
         capacities = placement.running + placement.booting if include_booting else placement.running
-        allowed = self._allowed(
+        allowed = self._allowed_by_zone(
             demand,
-            [capacity for capacity in capacities if (capacity.fits_after_stops(spec) if soon else capacity.fits(spec))],
+            [
+                capacity
+                for capacity in capacities
+                if (capacity.fits_after_stops(spec) if after_stops else capacity.fits(spec))
+            ],
         )
         best: tuple[float, list[FreeCapacity]] | None = None
-        for zone in self._zones(demand):
+        for zone in self._candidate_zones(demand):
             candidates = allowed.get(zone, [])
-            if sum(capacity.slots(spec, soon) for capacity in candidates) < tasks:
+            if sum(capacity.slots(spec, after_stops) for capacity in candidates) < tasks:
                 continue
-            taken = self._allocate_found(demand, Search(demand, candidates, placement.snapshot.now, soon))
+            taken = self._allocate_up_to_size(demand, Search(demand, candidates, placement.snapshot.now, after_stops))
             self.deallocate_all(demand, taken)
             if len(taken) == tasks:
                 # It starts once the last task has its image: a zone whose machines hold it comes before others.
@@ -101,11 +107,11 @@
                 capacity.allocate(spec)
             return best[1]
         if not spec.spread and not demand.zones:
-            placement.failed_searches.add(where, spec, tasks)
+            placement.failed_searches.add(search_key, spec, tasks)
         return None
 
     @staticmethod
-    def _allocate_found(demand: Demand, search: Search) -> list[FreeCapacity]:
+    def _allocate_up_to_size(demand: Demand, search: Search) -> list[FreeCapacity]:
         """Allocate as many places as there are, up to the gang's size."""
         placed = dict(demand.zones)
         taken: list[FreeCapacity] = []
@@ -115,7 +121,7 @@
                 break
             capacity.allocate(demand.spec)
             placed[capacity.zone] = placed.get(capacity.zone, 0) + 1
-            search.changed(capacity)
+            search.reinsert(capacity)
             taken.append(capacity)
         return taken
 
@@ -138,25 +144,25 @@
         The machines are reserved for the gang until it starts.
         """
         preemption, spec, tasks = self.placement.preemption, demand.spec, len(demand.indices)
-        where = (
+        search_key = (
             "gang preempts",
             warm and spec.image,
             displace,
             demand.ref if demand.has_reservation else "",
             preemption.equivalence_class(demand),
         )
-        if preemption.cannot_preempt(demand) or self.placement.failed_searches.known_to_fail(where, spec, tasks):
+        if preemption.cannot_preempt(demand) or self.placement.failed_searches.known_to_fail(search_key, spec, tasks):
             return False
-        best = self._best_choice(demand, warm, displace)
+        best = self._cheapest_options(demand, warm, displace)
         if best is not None and displace:
             chosen = [option.capacity for option in best]
             moved = sum(victim.gpus for option in best for victim in option.victims if victim.within_guarantee)
-            if preemption.replaceable(self.placement.running, chosen) - self._displaced < moved:
+            if preemption.replaceable_gpus(self.placement.running, chosen) - self._displaced_gpus < moved:
                 best = None
             else:
-                self._displaced += moved
+                self._displaced_gpus += moved
         if best is None:
-            self.placement.failed_searches.add(where, spec, tasks)
+            self.placement.failed_searches.add(search_key, spec, tasks)
             return False
         for option in best:
             for victim in option.victims:
@@ -165,35 +171,35 @@
         self.placement.plan.reservations[demand.ref] = sorted({option.capacity.name for option in best})
         return True
 
-    def _best_choice(self, demand: Demand, warm: bool, displace: bool) -> list[Option] | None:
+    def _cheapest_options(self, demand: Demand, warm: bool, displace: bool) -> list[MachineOption] | None:
         """The cheapest machines of one zone, one for each task. Several tasks on one machine: see `allocate_all`."""
         preemption, spec, tasks = self.placement.preemption, demand.spec, len(demand.indices)
         # A start that waits for a fetch comes later than one that waits for a stop.
         weight = constants.FETCH_WEIGHT if spec.due_s is None else 1.0
         running = self.placement.with_image(spec.image) if warm else self.placement.running
         preemptible = {capacity.name for capacity in preemption.machines_with_enough(demand, running)}
-        allowed = self._allowed(
+        allowed = self._allowed_by_zone(
             demand,
             [capacity for capacity in running if capacity.name in preemptible or capacity.fits_after_stops(spec)],
         )
         # Gangs are of few sizes: the victims found for one on a machine hold for the next, until the machine changes.
         kind = preemption.equivalence_class(demand), spec.gpus, spec.cpus, spec.memory_gb, warm, displace
-        victims_by_machine = self._chosen.setdefault(kind, {})
-        best: tuple[float, list[Option]] | None = None
-        for zone in self._zones(demand):
+        victims_by_machine = self._cached_victims.setdefault(kind, {})
+        best: tuple[float, list[MachineOption]] | None = None
+        for zone in self._candidate_zones(demand):
             capacities = allowed.get(zone, [])
             if len(capacities) < tasks:
                 continue
-            options: list[Option] = []
+            options: list[MachineOption] = []
             for capacity in capacities:
                 fetch = fetch_s(capacity, spec) * weight
                 if capacity.fits_after_stops(spec):
-                    options.append(Option(fetch, capacity, []))
+                    options.append(MachineOption(fetch, capacity, []))
                 elif capacity.preemptible_tasks:
                     # To spare a fetch no other gang loses its start.
                     chosen = self._victims(demand, capacity, warm, displace, victims_by_machine)
                     if chosen:
-                        options.append(Option(_preemption_cost_s(chosen) + 1.0 + fetch, capacity, chosen))
+                        options.append(MachineOption(_preemption_cost_s(chosen) + 1.0 + fetch, capacity, chosen))
             options.sort(key=lambda option: option.cost)
             if len(options) >= tasks:
                 cost = sum(option.cost for option in options[:tasks])
@@ -223,11 +229,11 @@
         placement, spec = self.placement, demand.spec
         checkpoint = placement.renting.checkpoint()
         known = placement.running + placement.booting
-        allowed = self._allowed(demand, [capacity for capacity in known if capacity.fits_after_stops(spec)])
-        zones = sorted(self._zones(demand), key=lambda zone: (-len(allowed.get(zone, [])), zone or ""))
+        allowed = self._allowed_by_zone(demand, [capacity for capacity in known if capacity.fits_after_stops(spec)])
+        zones = sorted(self._candidate_zones(demand), key=lambda zone: (-len(allowed.get(zone, [])), zone or ""))
         for zone in zones:
-            taken = self._allocate_found(
-                demand, Search(demand, allowed.get(zone, []), placement.snapshot.now, soon=True)
+            taken = self._allocate_up_to_size(
+                demand, Search(demand, allowed.get(zone, []), placement.snapshot.now, after_stops=True)
             )
             placed = dict(demand.zones)
             if zone is not None:
--- a/winglift/policy/placement_state.py
+++ b/winglift/policy/placement_state.py
@@ -35,25 +35,25 @@
             found = self._with_image[image] = [capacity for capacity in self.running if image in capacity.images]
         return found
 
-    def with_free_gpus(self, image: str | None, soon: bool) -> list[FreeCapacity]:
+    def with_free_gpus(self, image: str | None, after_stops: bool) -> list[FreeCapacity]:
         """The machines, or those with an image, that have any GPU free, or soon: on a busy fleet few of many.
 
         Free capacity only shrinks while tasks are placed one by one; after stops the list is made anew.
         """
-        key = image, len(self.plan.stops) if soon else -1
+        key = image, len(self.plan.stops) if after_stops else -1
         found = self._with_free_gpus.get(key)
         if found is None:
             capacities = self.running if image is None else self.with_image(image)
             found = self._with_free_gpus[key] = [
                 capacity
                 for capacity in capacities
-                if capacity.gpus + (capacity.releasing_gpus if soon else 0.0) > AMOUNT_TOLERANCE
+                if capacity.gpus + (capacity.releasing_gpus if after_stops else 0.0) > AMOUNT_TOLERANCE
             ]
         return found
 
-    def search_stage(self, soon: bool, include_booting: bool) -> tuple[int, int]:
+    def search_stage(self, after_stops: bool, include_booting: bool) -> tuple[int, int]:
         """A key that changes whenever stops or rentals may have added free capacity."""
-        return (len(self.plan.stops) if soon else -1, len(self.plan.rentals) if include_booting else -1)
+        return (len(self.plan.stops) if after_stops else -1, len(self.plan.rentals) if include_booting else -1)
 
     def must_start(self, demand: Demand) -> bool:
         """Whether the task may wait no longer. Work within its team's guarantee has no slack that others could use."""
@@ -65,29 +65,29 @@
 
     def __init__(self, placement: PlacementState) -> None:
         self.placement = placement
-        self.spent: dict[str, tuple[float, float]] = {}  # team: CPUs and GPUs allocated in this cycle
+        self.charged: dict[str, tuple[float, float]] = {}  # team: CPUs and GPUs allocated in this cycle
 
     def tasks_allowed(self, demand: Demand) -> int:
         """How many tasks of this demand the team's limit still allows."""
         spec, quota = demand.spec, self.placement.snapshot.quota
-        spent_cpus, spent_gpus = self.spent.get(spec.team, (0.0, 0.0))
+        charged_cpus, charged_gpus = self.charged.get(spec.team, (0.0, 0.0))
         team = quota.teams.get(spec.team)
         if team is None:
             return 0
         used = quota.used[spec.team]
         most = 1_000_000
         for limit, per_task, in_use in (
-            (team.cpus_max, spec.cpus, used.cpus + spent_cpus),
-            (team.gpus_max, spec.gpus, used.gpus + spent_gpus),
+            (team.cpus_max, spec.cpus, used.cpus + charged_cpus),
+            (team.gpus_max, spec.gpus, used.gpus + charged_gpus),
         ):
             if limit > 0 and per_task > 0:
                 most = min(most, math.floor((limit - in_use + AMOUNT_TOLERANCE) / per_task))
         return max(0, most)
 
-    def spend(self, demand: Demand, tasks: int) -> None:
+    def charge(self, demand: Demand, tasks: int) -> None:
         """Count this many tasks of a demand against its team's limit for the rest of the cycle."""
-        cpus, gpus = self.spent.get(demand.spec.team, (0.0, 0.0))
-        self.spent[demand.spec.team] = (cpus + demand.spec.cpus * tasks, gpus + demand.spec.gpus * tasks)
+        cpus, gpus = self.charged.get(demand.spec.team, (0.0, 0.0))
+        self.charged[demand.spec.team] = (cpus + demand.spec.cpus * tasks, gpus + demand.spec.gpus * tasks)
 
     def preempt_within_team(self, demand: Demand, tasks: int) -> None:
         """Stop a team's own work of lower priority when the team's limit leaves no quota.
@@ -101,9 +101,9 @@
             return
         candidates = self._lower_work_of_team(demand)
         used = snapshot.quota.used[spec.team]
-        spent_cpus, spent_gpus = self.spent.get(spec.team, (0.0, 0.0))
-        gpus = used.gpus + spent_gpus + spec.gpus * tasks - team.gpus_max if team.gpus_max > 0 else 0.0
-        cpus = used.cpus + spent_cpus + spec.cpus * tasks - team.cpus_max if team.cpus_max > 0 else 0.0
+        charged_cpus, charged_gpus = self.charged.get(spec.team, (0.0, 0.0))
+        gpus = used.gpus + charged_gpus + spec.gpus * tasks - team.gpus_max if team.gpus_max > 0 else 0.0
+        cpus = used.cpus + charged_cpus + spec.cpus * tasks - team.cpus_max if team.cpus_max > 0 else 0.0
         gpus -= snapshot.stopping_gpus.get(spec.team, 0.0)
         cpus -= snapshot.stopping_cpus.get(spec.team, 0.0)
         if (
@@ -111,7 +111,7 @@
             or cpus > sum(victim.cpus for victim, _ in candidates) + AMOUNT_TOLERANCE
         ):
             return
-        self.spend(demand, tasks)
+        self.charge(demand, tasks)
         for victim, capacity in candidates:
             if gpus <= AMOUNT_TOLERANCE and cpus <= AMOUNT_TOLERANCE:
                 return
--- a/winglift/policy/plan.py
+++ b/winglift/policy/plan.py
@@ -28,7 +28,7 @@
 # Why a job's tasks wait, as logged.
 WAITS_FOR_QUOTA = "team limit"
 WAITS_FOR_STOPS = "preempted tasks are stopping"
-WAITS_FOR_STOPS_BESIDE_IMAGE = "preempted tasks are stopping on machines with its image"
+WAITS_FOR_STOPS_NEAR_IMAGE = "preempted tasks are stopping on machines with its image"
 WAITS_FOR_COMPLETIONS = "running tasks complete soon"
 WAITS_FOR_RELOCATION = "replicas are relocating"
 WAITS_FOR_BOOT = "machines are booting"
@@ -56,7 +56,7 @@
         self.starts: list[TaskPlacement] = []
         self.reserved_count = 0
         self._searches: dict[tuple[MachineGroup, bool], Search] = {}
-        self._all_candidates: dict[MachineGroup, PreemptionCandidates] = {}
+        self._candidates_by_group: dict[MachineGroup, PreemptionCandidates] = {}
 
     def _capacities_of(self, group: MachineGroup) -> list[FreeCapacity]:
         """The machines of a group."""
@@ -72,29 +72,29 @@
             return capacity.ready_in > 0
         return capacity.ready_in <= 0 and (group == "running" or self.demand.spec.image in capacity.images)
 
-    def _search(self, group: MachineGroup, soon: bool = False) -> Search:
-        """The search of a group, made once per demand. `soon`: on capacity that stops under way release too."""
-        found = self._searches.get((group, soon))
+    def _search(self, group: MachineGroup, after_stops: bool = False) -> Search:
+        """The search of a group, made once per demand. `after_stops`: on capacity that stops under way release too."""
+        found = self._searches.get((group, after_stops))
         if found is None:
             placement, spec = self.placement, self.demand.spec
-            where = (group, placement.search_stage(soon, group == "booting"))
-            known_to_fail = group != "warm" and placement.failed_searches.known_to_fail(where, spec)
+            search_key = (group, placement.search_stage(after_stops, group == "booting"))
+            known_to_fail = group != "warm" and placement.failed_searches.known_to_fail(search_key, spec)
             capacities = () if known_to_fail else self._capacities_of(group)
             if capacities and group != "booting" and spec.gpus > 0:
-                capacities = placement.with_free_gpus(spec.image if group == "warm" else None, soon)
-            found = Search(self.demand, capacities, placement.snapshot.now, soon)
+                capacities = placement.with_free_gpus(spec.image if group == "warm" else None, after_stops)
+            found = Search(self.demand, capacities, placement.snapshot.now, after_stops)
             if found.none_fits and not known_to_fail and group != "warm":
-                placement.failed_searches.add(where, spec)
-            self._searches[group, soon] = found
+                placement.failed_searches.add(search_key, spec)
+            self._searches[group, after_stops] = found
         return found
 
     def _candidates(self, group: MachineGroup) -> PreemptionCandidates:
         """The preemption candidates of a group, made once per demand."""
-        found = self._all_candidates.get(group)
+        found = self._candidates_by_group.get(group)
         if found is None:
             placement, demand = self.placement, self.demand
-            where = ("preemption", placement.preemption.equivalence_class(demand))
-            known_to_fail = placement.failed_searches.known_to_fail(where, demand.spec)
+            search_key = ("preemption", placement.preemption.equivalence_class(demand))
+            known_to_fail = placement.failed_searches.known_to_fail(search_key, demand.spec)
             found = PreemptionCandidates(
                 placement.preemption,
                 demand,
@@ -102,29 +102,29 @@
                 allow_gang_start_loss=group == "running",
             )
             if group == "running" and found.is_empty and not known_to_fail:
-                placement.failed_searches.add(where, demand.spec)
-            self._all_candidates[group] = found
+                placement.failed_searches.add(search_key, demand.spec)
+            self._candidates_by_group[group] = found
         return found
 
-    def _start_on(self, capacity: FreeCapacity) -> None:
+    def _allocate_on(self, capacity: FreeCapacity) -> None:
         """Allocate a task on a machine, and enter the machine again in all searches."""
         capacity.allocate(self.demand.spec)
         self.placed[capacity.zone] = self.placed.get(capacity.zone, 0) + 1
         for (group, _), search in self._searches.items():
             if self._belongs_to(group, capacity):
-                search.changed(capacity)
-        for candidates in self._all_candidates.values():
-            candidates.changed(capacity)
+                search.reinsert(capacity)
+        for candidates in self._candidates_by_group.values():
+            candidates.reinsert(capacity)
 
     def _reserve_until_ready(self, capacity: FreeCapacity, reason: str) -> None:
         """Allocate capacity to a task that can't start yet, so that later tasks don't count on it too."""
-        self._start_on(capacity)
+        self._allocate_on(capacity)
         self.reserved_count += 1
         self.placement.plan.waiting[self.demand.ref] = reason
 
-    def _released_soon(self, group: MachineGroup) -> FreeCapacity | None:
+    def _capacity_after_stops(self, group: MachineGroup) -> FreeCapacity | None:
         """A machine with capacity that stops of this or an earlier cycle release, or that one more preemption does."""
-        capacity = self._search(group, soon=True).best(self.placed)
+        capacity = self._search(group, after_stops=True).best(self.placed)
         if capacity is not None or self.demand.defers_preemption:
             return capacity
         return self._candidates(group).preempt_cheapest(self.placed)
@@ -139,17 +139,17 @@
         capacity = self._search("running").best(self.placed)
         if capacity is not None and self._fetch_too_long(capacity):
             # Work due now starts sooner where its image is, even if something must stop for it.
-            better = self._released_soon("warm")
+            better = self._capacity_after_stops("warm")
             if better is not None and demand.would_occupy_gpu_machine(better) <= demand.would_occupy_gpu_machine(
                 capacity
             ):
                 self._reserve_until_ready(better, WAITS_FOR_STOPS)
                 return True
         if capacity is not None:
-            self._start_on(capacity)
+            self._allocate_on(capacity)
             self.starts.append(TaskPlacement(index, capacity.name))
             return True
-        capacity = self._released_soon("running")
+        capacity = self._capacity_after_stops("running")
         if capacity is not None:
             self._reserve_until_ready(capacity, WAITS_FOR_STOPS)
             return True
@@ -171,45 +171,45 @@
         self._reserve_until_ready(capacity, WAITS_FOR_BOOT)
         return True
 
-    def run(self, limits: QuotaBudget) -> None:
+    def run(self, quota_budget: QuotaBudget) -> None:
         """Place the demand's tasks one by one as far as its team's limit and the free capacity allow."""
         demand, plan = self.demand, self.placement.plan
-        tasks_allowed = limits.tasks_allowed(demand)
+        tasks_allowed = quota_budget.tasks_allowed(demand)
         must_start = self.placement.must_start(demand)
         for index in demand.indices:
             taken = len(self.starts) + self.reserved_count
             if taken >= tasks_allowed:
                 if not demand.is_probe:
-                    limits.spend(demand, taken)
-                    limits.preempt_within_team(demand, len(demand.indices) - taken)
-                    limits.spend(demand, -taken)
+                    quota_budget.charge(demand, taken)
+                    quota_budget.preempt_within_team(demand, len(demand.indices) - taken)
+                    quota_budget.charge(demand, -taken)
                 plan.waiting[demand.ref] = WAITS_FOR_QUOTA
                 break
             if not self.place(index, must_start):
                 break
         # Tasks that wait for reserved capacity keep their part of the team's limit as well.
-        limits.spend(demand, len(self.starts) + self.reserved_count)
+        quota_budget.charge(demand, len(self.starts) + self.reserved_count)
         if self.starts:
             plan.starts.append(JobStart(demand.ref, self.starts))
 
 
-def place_gang(placement: PlacementState, limits: QuotaBudget, gangs: GangPlacer, demand: Demand) -> None:
+def place_gang(placement: PlacementState, quota_budget: QuotaBudget, gang_placer: GangPlacer, demand: Demand) -> None:
     """All tasks find a place or none takes one, so that two gangs never hold halves."""
     plan = placement.plan
-    if limits.tasks_allowed(demand) < len(demand.indices):
+    if quota_budget.tasks_allowed(demand) < len(demand.indices):
         if not demand.is_probe:
-            limits.preempt_within_team(demand, len(demand.indices))
+            quota_budget.preempt_within_team(demand, len(demand.indices))
         plan.waiting[demand.ref] = WAITS_FOR_QUOTA
         return
-    if _start_gang(placement, limits, gangs, demand):
+    if _start_gang(placement, quota_budget, gang_placer, demand):
         return
-    if _preempt_for_gang(placement, gangs, demand):
+    if _preempt_for_gang(placement, gang_placer, demand):
         reason = WAITS_FOR_STOPS
     elif not placement.must_start(demand) or demand.is_probe:
         plan.waiting[demand.ref] = WAITS_AS_PROBE if demand.is_probe else WAITS_WITHIN_SLACK
         return
-    elif gangs.allocate_all(demand, soon=True, include_booting=True) is not None or (
-        placement.snapshot.may_rent and demand.may_rent and gangs.rent(demand)
+    elif gang_placer.allocate_all(demand, after_stops=True, include_booting=True) is not None or (
+        placement.snapshot.may_rent and demand.may_rent and gang_placer.rent(demand)
     ):
         reason = WAITS_FOR_BOOT
     elif relocate_replicas(placement, demand):
@@ -219,36 +219,36 @@
         return
     plan.waiting[demand.ref] = reason
     # Its part of the team's limit is kept too, or the team's lower work takes it and is stopped again.
-    limits.spend(demand, len(demand.indices))
+    quota_budget.charge(demand, len(demand.indices))
 
 
-def _start_gang(placement: PlacementState, limits: QuotaBudget, gangs: GangPlacer, demand: Demand) -> bool:
+def _start_gang(placement: PlacementState, quota_budget: QuotaBudget, gang_placer: GangPlacer, demand: Demand) -> bool:
     """Start a gang on free capacity, or preempt beside its image where the fetch would take long."""
     plan = placement.plan
-    found = gangs.allocate_all(demand, soon=False)
-    if found is not None and gangs.fetch_too_long(demand, found):
-        gangs.deallocate_all(demand, found)
-        if gangs.preempt(demand, warm=True):
-            plan.waiting[demand.ref] = WAITS_FOR_STOPS_BESIDE_IMAGE
-            limits.spend(demand, len(demand.indices))
+    found = gang_placer.allocate_all(demand, after_stops=False)
+    if found is not None and gang_placer.fetch_too_long(demand, found):
+        gang_placer.deallocate_all(demand, found)
+        if gang_placer.preempt(demand, warm=True):
+            plan.waiting[demand.ref] = WAITS_FOR_STOPS_NEAR_IMAGE
+            quota_budget.charge(demand, len(demand.indices))
             return True
-        found = gangs.allocate_all(demand, soon=False)
+        found = gang_placer.allocate_all(demand, after_stops=False)
     if found is None:
         return False
-    limits.spend(demand, len(found))
+    quota_budget.charge(demand, len(found))
     placements = [TaskPlacement(index, capacity.name) for index, capacity in zip(demand.indices, found, strict=True)]
     plan.starts.append(JobStart(demand.ref, placements))
     return True
 
 
-def _preempt_for_gang(placement: PlacementState, gangs: GangPlacer, demand: Demand) -> bool:
+def _preempt_for_gang(placement: PlacementState, gang_placer: GangPlacer, demand: Demand) -> bool:
     """Reserve what stopping tasks leave for a gang, or stop more tasks for it."""
-    releasing = gangs.allocate_all(demand, soon=True)
+    releasing = gang_placer.allocate_all(demand, after_stops=True)
     if releasing is not None:
         if demand.has_reservation:
             placement.plan.reservations[demand.ref] = sorted({capacity.name for capacity in releasing})
         return True
-    return gangs.preempt(demand) or (demand.may_displace and gangs.preempt(demand, displace=True))
+    return gang_placer.preempt(demand) or (demand.may_displace and gang_placer.preempt(demand, displace=True))
 
 
 def _consolidation_candidates(placement: PlacementState) -> list[FreeCapacity]:
@@ -273,7 +273,7 @@
     return candidates
 
 
-def consolidate(placement: PlacementState, warm_pool: WarmPool) -> str | None:
+def machine_to_consolidate(placement: PlacementState, warm_pool: WarmPool) -> str | None:
     """The emptiest machine whose replicas would all fit on others that hold their images."""
     snapshot = placement.snapshot
     if not snapshot.may_migrate or placement.plan.waiting or placement.plan.rentals or placement.booting:
@@ -328,15 +328,15 @@
 def make_plan(snapshot: Snapshot) -> Plan:
     """One cycle's decisions (EPSM, section 4): starts, stops, moves, rentals and what may be returned."""
     placement = PlacementState(snapshot)
-    limits, gangs = QuotaBudget(placement), GangPlacer(placement)
+    quota_budget, gang_placer = QuotaBudget(placement), GangPlacer(placement)
     for demand in snapshot.demands + [stalled.demand for stalled in snapshot.stalled_replicas]:
         demand.prefers_cpu_machines = cost_model.prefers_cpu_machines(demand.spec, snapshot.types)
     reserve_for_largest(placement)
     for demand in sorted(snapshot.demands, key=scheduling_order):
         if demand.spec.kind is Kind.GANG and demand.spec.tasks > 1:
-            place_gang(placement, limits, gangs, demand)
+            place_gang(placement, quota_budget, gang_placer, demand)
         else:
-            TaskPlacer(placement, demand).run(limits)
+            TaskPlacer(placement, demand).run(quota_budget)
     restart_near_image(placement)
     warm_pool = WarmPool(placement)
     for target in snapshot.warm_pool_targets:
@@ -345,5 +345,5 @@
     placement.plan.idle_machines = {
         capacity.name for capacity in placement.running if capacity.empty and not capacity.reserved_for
     }
-    placement.plan.drain = consolidate(placement, warm_pool)
+    placement.plan.drain = machine_to_consolidate(placement, warm_pool)
     return placement.plan
--- a/winglift/policy/preemption.py
+++ b/winglift/policy/preemption.py
@@ -28,9 +28,9 @@
         """Whether another team may use capacity beyond its guarantee that this demand can reclaim."""
         return demand.within_guarantee and any(name != demand.spec.team for name in self._borrowers)
 
-    def may_preempt(self, demand: Demand, claim: tuple[bool, bool, int], victim: Victim) -> bool:
-        """Whether a demand may preempt a victim. `claim` is the demand's precedence, computed once by the caller."""
-        if not victim.precedence < claim or (victim.ref, victim.index) in self.stopped:
+    def may_preempt(self, demand: Demand, demand_precedence: tuple[bool, bool, int], victim: Victim) -> bool:
+        """Whether a demand may preempt a victim. `demand_precedence` is computed once by the caller."""
+        if not victim.precedence < demand_precedence or (victim.ref, victim.index) in self.stopped:
             # A demand never preempts what has precedence over it: else two teams stop each other in turn.
             return False
         return victim.rank < demand.spec.priority.rank or (
@@ -54,7 +54,7 @@
             and (victim.ref, victim.index) not in self.stopped
         )
 
-    def replaceable(self, capacities: Iterable[FreeCapacity], excluded: Iterable[FreeCapacity]) -> float:
+    def replaceable_gpus(self, capacities: Iterable[FreeCapacity], excluded: Iterable[FreeCapacity]) -> float:
         """GPUs of borrowed work of the lowest priority on other machines, which displaced work could preempt."""
         excluded_names = {capacity.name for capacity in excluded}
         found = 0.0
@@ -157,13 +157,15 @@
         self, demand: Demand, capacity: FreeCapacity, allow_gang_start_loss: bool, displace: bool
     ) -> list[Victim]:
         """The tasks on one machine that may be stopped for the demand, the cheapest to stop first."""
-        claim = demand.precedence
+        demand_precedence = demand.precedence
         capacity.inspect()
         allowed = [
             victim
             for victim in capacity.victims
             if (allow_gang_start_loss or not victim.loses_gang_start)
-            and (self.may_preempt(demand, claim, victim) or (displace and self.may_displace(demand, victim)))
+            and (
+                self.may_preempt(demand, demand_precedence, victim) or (displace and self.may_displace(demand, victim))
+            )
         ]
         allowed.sort(key=lambda victim: (victim.precedence, victim.lost_work_s * victim.gang_size))
         return allowed
@@ -194,13 +196,13 @@
         self.preemption = preemption
         self.demand = demand
         self._heap: list[PreemptionEntry] = []
-        self._entries = 0
-        self._order: dict[str, int] = {}
+        self._entry_count = 0
+        self._positions: dict[str, int] = {}
         self.is_empty = True
         if preemption.cannot_preempt(demand):
             return
         for capacity in preemption.machines_with_enough(demand, capacities):
-            self._order[capacity.name] = len(self._order)
+            self._positions[capacity.name] = len(self._positions)
             entry = self._entry(capacity)
             if entry is not None:
                 self._heap.append(entry)
@@ -219,12 +221,12 @@
             max(victim.precedence for victim in chosen),
             sum(victim.lost_work_s * victim.gang_size for victim in chosen) + fetch,
         )
-        self._entries += 1
-        return cost, self._order[capacity.name], self._entries, capacity, capacity.version, chosen
+        self._entry_count += 1
+        return cost, self._positions[capacity.name], self._entry_count, capacity, capacity.version, chosen
 
-    def changed(self, capacity: FreeCapacity) -> None:
+    def reinsert(self, capacity: FreeCapacity) -> None:
         """Enter a machine again whose free capacity has changed."""
-        if capacity.name in self._order:
+        if capacity.name in self._positions:
             entry = self._entry(capacity)
             if entry is not None:
                 heappush(self._heap, entry)
--- a/winglift/policy/renting.py
+++ b/winglift/policy/renting.py
@@ -81,7 +81,7 @@
             )
         return found
 
-    def _choices(self, demand: Demand, placed: dict[str, int]) -> list[RentalChoice]:
+    def _rental_choices(self, demand: Demand, placed: dict[str, int]) -> list[RentalChoice]:
         """The machines that could be rented for one task."""
         spec = demand.spec
         found: list[RentalChoice] = []
@@ -135,7 +135,7 @@
 
     def rent(self, demand: Demand, placed: dict[str, int]) -> FreeCapacity | None:
         """Rent a machine for one task of this demand; None if nothing adequate is available."""
-        choices = self._choices(demand, placed)
+        choices = self._rental_choices(demand, placed)
         if not choices:
             return None
         # The cheapest that meets the sub-deadline; or else the fastest, or the cheapest of those about as fast.
--- a/winglift/policy/replica_relocation.py
+++ b/winglift/policy/replica_relocation.py
@@ -15,7 +15,7 @@
 from .snapshot import Demand, FreeCapacity, MovableReplica, ReplicaRef
 
 
-def _fits_without(capacity: FreeCapacity, spec: Submission, replicas: list[MovableReplica]) -> bool:
+def _fits_after_relocation(capacity: FreeCapacity, spec: Submission, replicas: list[MovableReplica]) -> bool:
     """Whether a task would fit there without these replicas, and once the tasks it may preempt have stopped."""
     preemptible = [victim for victim in capacity.victims if victim.rank < spec.priority.rank]
     return (
@@ -67,7 +67,11 @@
         capacity.inspect()
         replicas = _relocatable_replicas(placement, capacity)
         count = next(
-            (count for count in range(1, len(replicas) + 1) if _fits_without(capacity, demand.spec, replicas[:count])),
+            (
+                count
+                for count in range(1, len(replicas) + 1)
+                if _fits_after_relocation(capacity, demand.spec, replicas[:count])
+            ),
             None,
         )
         if count is None or (best is not None and count >= best[0]):
--- a/winglift/policy/reservation.py
+++ b/winglift/policy/reservation.py
@@ -71,7 +71,7 @@
             if left <= 0:
                 break
             chosen.append(capacity)
-            left -= max(1, capacity.slots(demand.spec, soon=True))
+            left -= max(1, capacity.slots(demand.spec, after_stops=True))
         lacks = sum(_missing_share(demand, capacity) for capacity in chosen)
         if left <= 0 and (best is None or lacks < best[0]):
             best = lacks, chosen
--- a/winglift/policy/search.py
+++ b/winglift/policy/search.py
@@ -12,7 +12,7 @@
 from ..wire.users import Kind, Submission
 from .snapshot import Demand, FreeCapacity, fetch_s, zone_allowed
 
-PLACED_POSITION = 6  # position in a preference of the only element that depends on the tasks placed already
+TASKS_IN_ZONE_INDEX = 6  # position in a preference of the only element that depends on the tasks placed already
 
 # A machine's preference, its position, a serial number that makes entries distinct, the machine, and its version when
 # the entry was made. A plain tuple: it is made for each machine of each search, and compared often.
@@ -51,55 +51,57 @@
 class Search:
     """The machines for one demand, best first, per zone."""
 
-    def __init__(self, demand: Demand, capacities: Iterable[FreeCapacity], now: float, soon: bool = False) -> None:
+    def __init__(
+        self, demand: Demand, capacities: Iterable[FreeCapacity], now: float, after_stops: bool = False
+    ) -> None:
         self.demand = demand
         self._now = now
-        self._order: dict[str, int] = {}
-        self._entries = 0
+        self._positions: dict[str, int] = {}
+        self._entry_count = 0
         self._heaps: dict[str, list[SearchEntry]] = {}
         spec = demand.spec
-        self._fits = FreeCapacity.fits_after_stops if soon else FreeCapacity.fits
+        self._fits = FreeCapacity.fits_after_stops if after_stops else FreeCapacity.fits
         fitting = [capacity for capacity in capacities if self._fits(capacity, spec)]
         self.none_fits = not fitting
         for capacity in fitting:
             if demand.allows(capacity):
-                self._order[capacity.name] = len(self._order)
+                self._positions[capacity.name] = len(self._positions)
                 self._heaps.setdefault(capacity.zone, []).append(self._entry(capacity))
         for heap in self._heaps.values():
             heapify(heap)
 
     def _entry(self, capacity: FreeCapacity) -> SearchEntry:
-        self._entries += 1  # no two entries are equal, so machines themselves are never compared
+        self._entry_count += 1  # no two entries are equal, so machines themselves are never compared
         return (
             preference(self.demand, capacity, self._now, {}),
-            self._order[capacity.name],
-            self._entries,
+            self._positions[capacity.name],
+            self._entry_count,
             capacity,
             capacity.version,
         )
 
-    def changed(self, capacity: FreeCapacity) -> None:
+    def reinsert(self, capacity: FreeCapacity) -> None:
         """Enter a machine again whose free capacity has changed, or that was rented."""
         if self._fits(capacity, self.demand.spec) and self.demand.allows(capacity):
-            self._order.setdefault(capacity.name, len(self._order))
+            self._positions.setdefault(capacity.name, len(self._positions))
             heappush(self._heaps.setdefault(capacity.zone, []), self._entry(capacity))
 
     def best(self, placed: dict[str, int]) -> FreeCapacity | None:
         """The best machine in a zone that the tasks placed so far allow, or None."""
         spec = self.demand.spec
         found: FreeCapacity | None = None
-        found_key: tuple | None = None
+        best_key: tuple | None = None
         for zone, heap in self._heaps.items():
-            # An entry of an earlier version is void: `changed` has entered the machine again.
+            # An entry of an earlier version is void: `reinsert` has entered the machine again.
             while heap and _is_stale(heap[0]):
                 heappop(heap)
             if not heap or not zone_allowed(spec, zone, placed):
                 continue
             unplaced, position, _, capacity, _ = heap[0]
             in_zone = placed.get(zone, 0) if spec.spread else 0
-            key = (*unplaced[:PLACED_POSITION], in_zone, *unplaced[PLACED_POSITION + 1 :], position)
-            if found_key is None or key < found_key:
-                found, found_key = capacity, key
+            key = (*unplaced[:TASKS_IN_ZONE_INDEX], in_zone, *unplaced[TASKS_IN_ZONE_INDEX + 1 :], position)
+            if best_key is None or key < best_key:
+                found, best_key = capacity, key
         return found
 
 
@@ -114,19 +116,19 @@
 
     Free capacity only shrinks, so no machine is searched for a demand that is as large.
 
-    `where` identifies the machines searched; it must change whenever their free capacity may have grown.
+    `search_key` identifies the machines searched; it must change whenever their free capacity may have grown.
     """
 
     def __init__(self) -> None:
         self._sizes: dict[Hashable, list[tuple[float, float, float, int]]] = {}
 
-    def known_to_fail(self, where: Hashable, spec: Submission, tasks: int = 1) -> bool:
+    def known_to_fail(self, search_key: Hashable, spec: Submission, tasks: int = 1) -> bool:
         """Whether a search of these machines for a demand at most as large has failed."""
         return any(
             spec.gpus >= gpus and spec.cpus >= cpus and spec.memory_gb >= memory and tasks >= count
-            for gpus, cpus, memory, count in self._sizes.get(where, ())
+            for gpus, cpus, memory, count in self._sizes.get(search_key, ())
         )
 
-    def add(self, where: Hashable, spec: Submission, tasks: int = 1) -> None:
+    def add(self, search_key: Hashable, spec: Submission, tasks: int = 1) -> None:
         """Record that a demand of this size found no machine among these."""
-        self._sizes.setdefault(where, []).append((spec.gpus, spec.cpus, spec.memory_gb, tasks))
+        self._sizes.setdefault(search_key, []).append((spec.gpus, spec.cpus, spec.memory_gb, tasks))
--- a/winglift/policy/snapshot.py
+++ b/winglift/policy/snapshot.py
@@ -1,4 +1,4 @@
-"""Input and output of one scheduling cycle: free capacity, demands, and the plan. Plain data, no I/O, no clock."""
+"""Input and output of one scheduling cycle: free capacity, demands and the plan. Plain data: no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 NO_RESOURCES: Resources = (0.0, 0.0, 0.0)
 
 
-def precedence(priority: Priority, within: bool) -> tuple[bool, bool, int]:
-    """The order of work: production first, then what is within its team's guarantee, then priority.
+def precedence(priority: Priority, within_guarantee: bool) -> tuple[bool, bool, int]:
+    """The sort key of work: production first, then work within its team's guarantee, then priority.
 
-    One order decides both which demand is placed first and which work may preempt which. When there were two (priority
-    for the one, guarantees for the other), a borrowing gang took free capacity before work of lower priority within a
-    guarantee, which then stopped it: one gang was started 75 times in 250 s, and hardly anything else got done.
+    The same order decides which demand is placed first and which work may preempt which. With two different orders
+    (priority for placement, guarantees for preemption), a borrowing gang took free capacity ahead of lower-priority
+    work within a guarantee, which then preempted it: one gang was started 75 times in 250 s, and little else ran.
     """
-    return priority is Priority.PRODUCTION, within, priority.rank
+    return priority is Priority.PRODUCTION, within_guarantee, priority.rank
 
 
 @dataclass(slots=True)
 class Victim:
-    """A task that might be preempted."""
+    """A task that may be preempted."""
 
     ref: str
     index: int
@@ -36,11 +36,13 @@
     cpus: float
     gpus: float
     memory_gb: float
-    lost_work_s: float  # work that stopping it would cost
-    gang_size: int  # tasks that stop with it
+    lost_work_s: float  # run time lost if the task is stopped
+    gang_size: int  # number of tasks that stop together with it
     within_guarantee: bool = False  # its job is within its team's guarantee
-    loses_gang_start: bool = False  # of a gang that would lose its start: it has several tasks, or hardly ran
-    rank: int = field(init=False)  # both are read far more often than a victim is made
+    # Stopping it costs its gang the start: the gang has several tasks, or has run for only a short time.
+    loses_gang_start: bool = False
+    # Computed once: both are read far more often than a victim is created.
+    rank: int = field(init=False)
     precedence: tuple[bool, bool, int] = field(init=False)
 
     def __post_init__(self) -> None:
@@ -50,21 +52,21 @@
 
 @dataclass(slots=True)
 class MovableReplica:
-    """A replica that could be started elsewhere."""
+    """A replica that can be moved to another machine."""
 
     ref: str
     spec: Submission
-    zones: dict[str, int]
+    zones: dict[str, int]  # number of the job's tasks per zone
     ran_s: float
-    index: int = 0  # of its task
+    index: int = 0  # task index of the replica
 
 
 @dataclass(slots=True, eq=False)
 class FreeCapacity:
-    """The free capacity of one machine, existing, booting or to be rented; CPUs, GPUs and GB of memory.
+    """The free capacity of one machine that runs, boots or is to be rented, in CPUs, GPUs and GB of memory.
 
-    What runs there is listed by `inspector` only when something might be stopped or moved. At 515 machines,
-    listing every task of every machine in every cycle once took longer than the cycle itself.
+    The tasks on the machine are listed by `inspector`, and only when some of them may be stopped or moved: with 515
+    machines, listing every task of every machine in each cycle took longer than the cycle itself.
     """
 
     name: str
@@ -74,32 +76,33 @@
     cpus: float
     gpus: float
     memory_gb: float
-    ready_in: float = 0.0  # s until it can take tasks
-    images: frozenset[str] | set[str] = frozenset()  # that it holds or fetches
-    cached_images: frozenset[str] | set[str] = frozenset()  # that it holds
+    ready_in: float = 0.0  # s until the machine can run tasks
+    images: frozenset[str] | set[str] = frozenset()  # cached or being fetched
+    cached_images: frozenset[str] | set[str] = frozenset()  # cached only
     victims: list[Victim] = field(default_factory=list)
-    pending_fetches: int = 0  # images on their way to it, which share its rate
+    pending_fetches: int = 0  # image fetches under way, which share the machine's fetch rate
     empty: bool = False
     movable_replicas: list[MovableReplica] = field(default_factory=list)
     replica_count: int = 0  # number of movable replicas, known without inspection
-    pinned_tasks: int = 0  # tasks on it that can't be moved
-    preemptible_tasks: int = -1  # number of victims, known without inspection; -1: those that are listed
+    pinned_tasks: int = 0  # number of tasks that can't be moved
+    preemptible_tasks: int = -1  # number of victims, known without inspection; -1: the length of `victims`
     preemptible_by_rank: tuple[Resources, Resources, Resources] = (
         NO_RESOURCES,
         NO_RESOURCES,
         NO_RESOURCES,
-    )  # of victims of rank 0, up to 1 and up to 2
+    )  # total resources of the victims of rank 0, up to rank 1 and up to rank 2
     inspector: Callable[[], tuple[list[Victim], list[MovableReplica]]] | None = None
-    releasing_cpus: float = 0.0  # resources of tasks being stopped
+    releasing_cpus: float = 0.0  # held by tasks that are being stopped, like the next two
     releasing_gpus: float = 0.0
     releasing_memory_gb: float = 0.0
-    without_controller: bool = False  # its zone has no node: in a partition, what runs there dies with its lease
-    # The job it is reserved for: only work of higher priority is placed on it meanwhile.
+    # Its zone has no controller node: in a partition, its tasks end when their lease expires.
+    without_controller: bool = False
+    # The job that the machine is reserved for. Of other jobs, only those of higher priority are placed on it.
     reserved_for: str = ""
-    reserved_rank: int = 0  # its priority
-    version: int = 0  # changes whenever its free capacity does
-    inspected: bool = False  # `inspector` was called
-    modified: bool = False  # changed since the cycle began, other than by inspection: the next cycle resets it
+    reserved_rank: int = 0  # priority rank of that job
+    version: int = 0  # incremented whenever the free capacity changes
+    inspected: bool = False  # `inspector` was called in this cycle
+    modified: bool = False  # changed in this cycle, other than by inspection: the next cycle resets the capacity
 
     def __post_init__(self) -> None:
         if self.preemptible_tasks < 0:
@@ -112,44 +115,44 @@
             )
 
     def _preemptible_below(self, rank: int) -> Resources:
-        found = [victim for victim in self.victims if victim.rank < rank]
+        preemptible = [victim for victim in self.victims if victim.rank < rank]
         return (
-            sum(victim.cpus for victim in found),
-            sum(victim.gpus for victim in found),
-            sum(victim.memory_gb for victim in found),
+            sum(victim.cpus for victim in preemptible),
+            sum(victim.gpus for victim in preemptible),
+            sum(victim.memory_gb for victim in preemptible),
         )
 
     def inspect(self) -> None:
-        """Fill in the tasks that could be stopped or moved; only few machines of a cycle need it."""
+        """List the tasks that may be stopped or moved. Only a few machines need this in a cycle."""
         if self.inspector is not None and not self.inspected:
             self.inspected = True
             self.victims, self.movable_replicas = self.inspector()
 
     def discard_inspection(self) -> None:
-        """Forget the result of an inspection: it holds for one cycle."""
+        """Discard the result of an inspection, which is valid for one cycle."""
         if self.inspected:
             self.victims, self.movable_replicas, self.inspected = [], [], False
 
-    def reset(self, cpus: float, gpus: float, memory_gb: float, soon: Resources) -> None:
-        """Set what is free at the beginning of a cycle, and what will be after its stops; nothing is reserved."""
+    def reset(self, cpus: float, gpus: float, memory_gb: float, releasing: Resources) -> None:
+        """Set the free and the releasing resources at the beginning of a cycle, and clear the reservation."""
         self.cpus, self.gpus, self.memory_gb = cpus, gpus, memory_gb
-        self.releasing_cpus, self.releasing_gpus, self.releasing_memory_gb = soon
+        self.releasing_cpus, self.releasing_gpus, self.releasing_memory_gb = releasing
         self.reserved_for, self.reserved_rank, self.version, self.modified = "", 0, 0, False
 
     def preemptible_below(self, rank: int) -> Resources:
-        """What would become free if all its victims below this rank stopped, without inspecting each of them."""
+        """The resources freed if all victims below this rank stopped, without an inspection."""
         return self.preemptible_by_rank[rank - 1] if rank > 0 else NO_RESOURCES
 
     def reserve(self, ref: str, rank: int) -> None:
-        """Reserve the machine for a job: only that job and work of higher priority are placed on it from now on."""
+        """Reserve the machine for a job: only that job and jobs of higher priority are placed on it from now on."""
         self.reserved_for, self.reserved_rank, self.modified = ref, rank, True
 
     def keep_warm(self) -> None:
-        """Count the machine as part of the warm pool: empty, but not idle."""
+        """Keep the machine in the warm pool: it has no tasks, but is not returned as idle."""
         self.empty, self.modified = False, True
 
     def fits(self, spec: Submission) -> bool:
-        """Whether one task fits now."""
+        """Whether one task fits into the free resources."""
         return (
             spec.gpus <= self.gpus + AMOUNT_TOLERANCE
             and spec.cpus <= self.cpus + AMOUNT_TOLERANCE
@@ -164,22 +167,28 @@
             and spec.memory_gb <= self.memory_gb + self.releasing_memory_gb + AMOUNT_TOLERANCE
         )
 
-    def slots(self, spec: Submission, soon: bool) -> int:
-        """How many tasks of this size fit."""
-        most = 1_000_000
+    def slots(self, spec: Submission, after_stops: bool) -> int:
+        """How many tasks of this size fit. `after_stops`: once the stops under way are complete."""
+        task_count = 1_000_000
         if spec.gpus > 0:
-            most = int((self.gpus + (self.releasing_gpus if soon else 0.0) + AMOUNT_TOLERANCE) / spec.gpus)
+            task_count = int((self.gpus + (self.releasing_gpus if after_stops else 0.0) + AMOUNT_TOLERANCE) / spec.gpus)
         if spec.cpus > 0:
-            most = min(most, int((self.cpus + (self.releasing_cpus if soon else 0.0) + AMOUNT_TOLERANCE) / spec.cpus))
+            task_count = min(
+                task_count,
+                int((self.cpus + (self.releasing_cpus if after_stops else 0.0) + AMOUNT_TOLERANCE) / spec.cpus),
+            )
         if spec.memory_gb > 0:
-            most = min(
-                most,
-                int((self.memory_gb + (self.releasing_memory_gb if soon else 0.0) + AMOUNT_TOLERANCE) / spec.memory_gb),
+            task_count = min(
+                task_count,
+                int(
+                    (self.memory_gb + (self.releasing_memory_gb if after_stops else 0.0) + AMOUNT_TOLERANCE)
+                    / spec.memory_gb
+                ),
             )
-        return max(0, most)
+        return max(0, task_count)
 
     def allocate(self, spec: Submission) -> None:
-        """Place a task here."""
+        """Subtract a task's resources from the free capacity."""
         self.cpus -= spec.cpus
         self.gpus -= spec.gpus
         self.memory_gb -= spec.memory_gb
@@ -188,7 +197,7 @@
         self.modified = True
 
     def deallocate(self, spec: Submission) -> None:
-        """Take back a task that was placed here in this cycle."""
+        """Undo an `allocate` of this cycle."""
         self.cpus += spec.cpus
         self.gpus += spec.gpus
         self.memory_gb += spec.memory_gb
@@ -196,7 +205,7 @@
         self.modified = True
 
     def release_after_stop(self, victim: Victim) -> None:
-        """Count the resources of a task that is about to be stopped as releasing."""
+        """Count the resources of a task that is to be stopped as releasing."""
         self.releasing_cpus += victim.cpus
         self.releasing_gpus += victim.gpus
         self.releasing_memory_gb += victim.memory_gb
@@ -204,7 +213,7 @@
         self.modified = True
 
     def allowed(self, spec: Submission) -> bool:
-        """Whether the job allows this type, zone and kind (spot or ordinary) of machine."""
+        """Whether the job allows this machine's type, zone and kind (spot or ordinary)."""
         return (
             (spec.spot or not self.spot)
             and (spec.zone is None or spec.zone == self.zone)
@@ -214,38 +223,38 @@
 
 @dataclass(slots=True)
 class Demand:
-    """A job's waiting tasks."""
+    """The waiting tasks of one job."""
 
     ref: str
     spec: Submission
     indices: list[int]
     sub_deadline: float
     run_s: float
-    zones: dict[str, int]  # tasks it has, per zone
+    zones: dict[str, int]  # number of the job's placed tasks per zone
     within_guarantee: bool = False  # within its team's guarantee
-    may_rent: bool = True  # a gang that has not come together for long rents only now and then
-    avoided_machines: frozenset[str] = frozenset()  # machines on which it has failed
-    # It has waited for so short a time that nothing is preempted for it yet: other tasks complete by themselves.
+    may_rent: bool = True  # False in most cycles for a gang that has failed to start for a long time
+    avoided_machines: frozenset[str] = frozenset()  # machines on which the job has failed
+    # The job has waited so briefly that nothing is preempted for it yet: running tasks may complete in time.
     defers_preemption: bool = False
-    is_probe: bool = False  # the job seems faulty: it may use free capacity, and nothing is preempted or rented for it
-    waited_s: float = 0.0  # since its acceptance, or since its last attempt ended
-    has_reservation: bool = False  # machines are reserved for it
-    is_speculative: bool = False  # no submitted job: warm pool for expected arrivals
-    # Machines where the steps before it ran: their outputs may still be there.
+    is_probe: bool = False  # the job seems faulty: it may use free capacity, but nothing is preempted or rented for it
+    waited_s: float = 0.0  # since the job was accepted, or since its last attempt ended
+    has_reservation: bool = False  # machines are reserved for the job
+    is_speculative: bool = False  # not a submitted job, but warm pool capacity for expected arrivals
+    # Machines on which the preceding workflow steps ran: their outputs may still be there.
     preferred_machines: frozenset[str] = frozenset()
-    # It uses no GPU, and there are types without: it takes a machine with GPUs only where there is no other.
+    # The job uses no GPU and fits a machine type without GPUs: GPU machines are its last choice.
     prefers_cpu_machines: bool = False
-    # A gang that has waited for much of the time in which it should start: it may displace work within a guarantee.
+    # A gang that has waited for a large part of its start objective may displace work within a guarantee.
     may_displace: bool = False
 
     @property
     def precedence(self) -> tuple[bool, bool, int]:
-        """The largest is placed first: production, within the guarantee, priority."""
+        """The precedence of the job (see `precedence`): the largest is placed first."""
         return precedence(self.spec.priority, self.within_guarantee)
 
     @property
     def start_overdue(self) -> bool:
-        """Whether nothing of it has begun though it has waited for much of START_DEADLINE_S."""
+        """Whether no task has started although the job has waited for RESERVATION_AFTER_SHARE of START_DEADLINE_S."""
         return (
             self.waited_s > constants.START_DEADLINE_S * constants.RESERVATION_AFTER_SHARE
             and not self.is_probe
@@ -253,11 +262,11 @@
         )
 
     def would_occupy_gpu_machine(self, capacity: FreeCapacity) -> bool:
-        """Whether it would take a GPU machine without using its GPUs. Such machines are used last, but used."""
+        """Whether a task would use a GPU machine but none of its GPUs. Such a machine is the last choice."""
         return self.prefers_cpu_machines and capacity.type.gpus > 0
 
     def allows(self, capacity: FreeCapacity) -> bool:
-        """Whether a task may go to this machine: allowed by its job, not avoided, not reserved for another."""
+        """Whether a task may be placed on this machine: allowed by its job, not avoided, not reserved for another."""
         return (
             capacity.allowed(self.spec)
             and capacity.name not in self.avoided_machines
@@ -267,15 +276,15 @@
 
 @dataclass(slots=True)
 class StalledReplica:
-    """A replica whose image fetch has taken long, and will take some time yet."""
+    """A replica whose image fetch is slow and not about to complete."""
 
-    demand: Demand  # as if it were to be placed anew
-    index: int
+    demand: Demand  # to place the replica on another machine
+    index: int  # task index of the replica
 
 
 @dataclass(slots=True)
 class Rental:
-    """Machines of one type, zone and kind to be rented."""
+    """Machines of one type, zone and kind (spot or ordinary) to rent."""
 
     type: str
     zone: str
@@ -285,7 +294,7 @@
 
 @dataclass(slots=True)
 class WarmPoolTarget:
-    """Capacity to keep warm for work that must start sooner than a machine boots."""
+    """Capacity to keep free for work that must start sooner than a machine boots."""
 
     spec: Submission
     count: int
@@ -293,28 +302,28 @@
 
 @dataclass(slots=True)
 class Snapshot:
-    """The input of one plan; amounts in CPUs, GPUs and GB, times in seconds."""
+    """The input of one plan. Amounts are in CPUs, GPUs and GB, times in seconds."""
 
     now: float  # time of day
     capacities: list[FreeCapacity]
     demands: list[Demand]
     quota: QuotaUsage
     types: dict[str, MachineType]
-    capacity_refusals: set[tuple[str, str, bool]]  # type, zone, spot: recently without capacity
+    capacity_refusals: set[tuple[str, str, bool]]  # type, zone and spot of recently refused rentals
     warm_pool_targets: list[WarmPoolTarget] = field(default_factory=list)
     stalled_replicas: list[StalledReplica] = field(default_factory=list)
-    # Of failing pools (type, zone): how many machines may be rented there yet.
+    # Number of machines that may still be rented in each capacity pool (type, zone) whose machines fail to boot.
     boot_probe_allowance: dict[tuple[str, str], int] = field(default_factory=dict)
-    zones_with_controllers: frozenset[str] | None = None  # zones that have a node; None: all
-    unreachable_zones: frozenset[str] = frozenset()  # partitioned zones: what is rented there could not be reached
+    zones_with_controllers: frozenset[str] | None = None  # zones that have a controller node; None: all zones
+    unreachable_zones: frozenset[str] = frozenset()  # partitioned zones: machines rented there could not be reached
     may_rent: bool = True
-    may_migrate: bool = True  # replicas may be moved off a nearly empty machine now
+    may_migrate: bool = True  # replicas may be moved now to empty a machine
     slack_pad: float = constants.SLACK_PAD
-    stopping_gpus: dict[str, float] = field(default_factory=dict)  # per team, of tasks being stopped
+    stopping_gpus: dict[str, float] = field(default_factory=dict)  # per team, held by tasks that are being stopped
     stopping_cpus: dict[str, float] = field(default_factory=dict)
 
     def without_controller(self, zone: str) -> bool:
-        """Is the zone without a controller node?"""
+        """Whether the zone has no controller node."""
         return self.zones_with_controllers is not None and zone not in self.zones_with_controllers
 
 
@@ -341,7 +350,7 @@
 
 
 class ReplicaRef(NamedTuple):
-    """A replica, by its job and its index."""
+    """A replica, by its job and its task index."""
 
     ref: str
     task_index: int
@@ -353,25 +362,28 @@
 
     starts: list[JobStart] = field(default_factory=list)
     stops: list[TaskStop] = field(default_factory=list)
-    # Gang: the machines reserved for it while preempted tasks stop.
+    # For each gang, the machines reserved for it while preempted tasks stop.
     reservations: dict[str, list[str]] = field(default_factory=dict)
-    image_restarts: list[ReplicaRef] = field(default_factory=list)  # to be started beside their image
-    # Replicas that must move for a gang to start.
+    image_restarts: list[ReplicaRef] = field(default_factory=list)  # to restart on machines with their image
+    # Replicas to move so that a gang can start.
     migrations: list[ReplicaRef] = field(default_factory=list)
     rentals: list[Rental] = field(default_factory=list)
-    waiting: dict[str, str] = field(default_factory=dict)  # job: why its tasks wait
+    waiting: dict[str, str] = field(default_factory=dict)  # for each waiting job, the reason
     idle_machines: set[str] = field(default_factory=set)  # empty machines that may be returned
-    unplaceable_job: str | None = None  # a job that has waited for long, and that no zone's machines could hold
-    drain: str | None = None  # a machine whose replicas fit elsewhere
+    unplaceable_job: str | None = None  # a job that has waited for long and fits no zone's machines
+    drain: str | None = None  # a machine to drain: its replicas fit on others
 
 
 def fetch_s(capacity: FreeCapacity, spec: Submission) -> float:
-    """Seconds until the job's image is on the machine; 0 if it is there."""
+    """Seconds to fetch the job's image; 0 if the machine holds or fetches it already."""
     return 0.0 if spec.image in capacity.images else spec.image_gb / max(capacity.type.fetch_gb_per_s, 1e-3)
 
 
 def zone_allowed(spec: Submission, zone: str, placed: dict[str, int]) -> bool:
-    """Whether one more task may go to this zone, given those placed. Those of unknown zone ('') may be anywhere."""
+    """Whether one more task may be placed in this zone.
+
+    `placed` is the number of placed tasks per zone; those of an unknown zone ('') may be in any.
+    """
     if spec.one_zone and any(count and other_zone != zone for other_zone, count in placed.items()):
         return False
     return not spec.spread or placed.get(zone, 0) + placed.get("", 0) < (spec.tasks + 1) // 2
--- a/winglift/policy/split.py
+++ b/winglift/policy/split.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 
-def in_order(steps: Iterable[str], parents: Mapping[str, Sequence[str]]) -> list[str]:
+def topological_order(steps: Iterable[str], parents: Mapping[str, Sequence[str]]) -> list[str]:
     """The steps in topological order, each after its parents.
 
     Each step is visited once: searching for the next among all took minutes for a chain of 10,000. Raises ValueError
@@ -27,7 +27,7 @@
     return found
 
 
-def finish_times(
+def earliest_finish_times(
     run_s: Mapping[str, float],
     parents: Mapping[str, Sequence[str]],
     known: Mapping[str, float],
@@ -40,7 +40,7 @@
     known already.
     """
     finish: dict[str, float] = {}
-    for step in in_order(run_s, parents) if order is None else order:
+    for step in topological_order(run_s, parents) if order is None else order:
         end = known.get(step)
         if end is None:
             end = max([start, *[finish[parent] for parent in parents.get(step, ())]]) + run_s[step]
@@ -56,7 +56,7 @@
     known: Mapping[str, float] | None = None,
     order: Sequence[str] | None = None,
 ) -> dict[str, float]:
-    """Sub-deadline of each step. `order`: see `finish_times`.
+    """Sub-deadline of each step. `order`: see `earliest_finish_times`.
 
     `estimates` holds run times by step, one mapping per machine type, slowest first. The slowest type whose
     makespan meets the deadline counts, or else the fastest. The time left over goes to the steps of the chain
@@ -67,7 +67,7 @@
     finish: dict[str, float] = {}
     run_s: Mapping[str, float] = {}
     for run_s in estimates:
-        finish = finish_times(run_s, parents, known_finish, start, order)
+        finish = earliest_finish_times(run_s, parents, known_finish, start, order)
         if max(finish.values()) <= deadline:
             break
     begin = max([start, *known_finish.values()]) if known_finish else start
--- a/winglift/policy/warm_pool.py
+++ b/winglift/policy/warm_pool.py
@@ -22,7 +22,7 @@
     `arrivals` holds time and tasks of recent jobs. The fullest stretch of time does not count towards the rate:
     when the service or its users start, everything is submitted at once, and that once kept 11 machines warm.
     """
-    if now - max(when for when, _ in arrivals) > _quiet_s([when for when, _ in arrivals]):
+    if now - max(when for when, _ in arrivals) > _idle_after_s([when for when, _ in arrivals]):
         # No more arrivals are expected: two GPU machines were once kept warm for minutes after the last gang.
         return 0
     slots: dict[int, int] = {}
@@ -37,7 +37,7 @@
     return max(largest, math.ceil(expected + deviations * math.sqrt(expected * mean)))
 
 
-def _quiet_s(times: Sequence[float]) -> float:
+def _idle_after_s(times: Sequence[float]) -> float:
     """Seconds without an arrival after which no more are expected of a class, by the mean gap between its arrivals.
 
     Arrivals in one slot count as one, and a single one gives no gap.
@@ -48,7 +48,7 @@
     return max(constants.WARM_POOL_QUIET_S, constants.WARM_POOL_QUIET_GAPS * (max(times) - min(times)) / (slots - 1))
 
 
-def _units(amount: float, each: float) -> float:
+def _tasks_that_fit(amount: float, each: float) -> float:
     """How many tasks that take `each` fit into an amount; infinite if they take none of it."""
     return amount / each if each > 0 else math.inf
 
@@ -73,7 +73,7 @@
             prefers_cpu_machines=cost_model.prefers_cpu_machines(spec, snapshot.types),
         )
 
-    def _missing(
+    def _uncovered_tasks(
         self, target: WarmPoolTarget, capacities: Iterable[FreeCapacity], keep: bool
     ) -> tuple[int, dict[str, int]]:
         """How many tasks of a target are not covered, neither by free capacity nor by preemptible work.
@@ -96,9 +96,9 @@
                 cpus, gpus, memory = cpus + more[0], gpus + more[1], memory + more[2]
             fit = int(
                 min(
-                    _units(gpus, spec.gpus),
-                    _units(cpus, spec.cpus),
-                    _units(memory, spec.memory_gb),
+                    _tasks_that_fit(gpus, spec.gpus),
+                    _tasks_that_fit(cpus, spec.cpus),
+                    _tasks_that_fit(memory, spec.memory_gb),
                     left,
                     zone_max - per_zone.get(capacity.zone, 0),
                 )
@@ -115,7 +115,7 @@
         """Whether these machines alone cover every target."""
         capacities = list(capacities)
         return all(
-            self._missing(target, capacities, keep=False)[0] <= 0
+            self._uncovered_tasks(target, capacities, keep=False)[0] <= 0
             for target in self.placement.snapshot.warm_pool_targets
         )
 
@@ -124,7 +124,7 @@
         placement = self.placement
         # Machines in use first: an empty one is kept only if they are not enough.
         capacities = sorted(placement.running + placement.booting, key=attrgetter("empty", "ready_in"))
-        left, per_zone = self._missing(target, capacities, keep=True)
+        left, per_zone = self._uncovered_tasks(target, capacities, keep=True)
         spec = target.spec
         while left > 0 and placement.snapshot.may_rent:
             demand = self._demand(spec)
@@ -133,6 +133,6 @@
             rented = placement.renting.rent(demand, per_zone)
             if rented is None:
                 return
-            fit = max(1, min(rented.slots(spec, soon=False), left))
+            fit = max(1, min(rented.slots(spec, after_stops=False), left))
             left -= fit
             per_zone[rented.zone] = per_zone.get(rented.zone, 0) + fit
