--- a/winglift/policy/gangs.py
+++ b/winglift/policy/gangs.py
@@ -1,4 +1,4 @@
-"""Gang scheduling: places for all tasks at once, or for none."""
+"""Gang scheduling: all tasks of a gang are placed at once, or none."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class MachineOption(NamedTuple):
-    """One machine that a task of a gang could use."""
+    """A machine on which one task of a gang could be placed."""
 
-    cost: float  # s: work lost by preemption, and fetch
+    cost_s: float  # work lost by preemption plus weighted fetch time
     capacity: FreeCapacity
-    victims: list[Victim]  # to preempt there
+    victims: list[Victim]  # tasks to preempt on the machine
 
 
 def _preemption_cost_s(victims: list[Victim]) -> float:
@@ -28,36 +28,36 @@
 
 
 class GangPlacer:
-    """Places gangs: all tasks of one together, or none."""
+    """Places gangs: all tasks of a gang together, or none."""
 
     def __init__(self, placement: PlacementState) -> None:
         self.placement = placement
         self._cached_victims: dict[Hashable, dict[str, tuple[int, list[Victim] | None]]] = {}
-        self._displaced_gpus = 0.0  # GPUs of work within guarantees that this cycle displaces
+        self._displaced_gpus = 0.0  # GPUs of work within guarantees that is displaced in this cycle
 
     def _candidate_zones(self, demand: Demand) -> list[str | None]:
-        """Where the whole gang may go: each zone by itself, the one with most free GPUs first, or anywhere (None)."""
+        """The zones to try for the whole gang, most free GPUs first; or None alone if it may span zones."""
         if not demand.spec.one_zone:
             return [None]
-        free = {zone: 0.0 for mtype in self.placement.snapshot.types.values() for zone in mtype.zones}
+        free_gpus = {zone: 0.0 for mtype in self.placement.snapshot.types.values() for zone in mtype.zones}
         for capacity in self.placement.booting:
-            free.setdefault(capacity.zone, 0.0)
+            free_gpus.setdefault(capacity.zone, 0.0)
         for capacity in self.placement.running:
-            free[capacity.zone] = free.get(capacity.zone, 0.0) + capacity.gpus
-        by_free_gpus = sorted(free, key=lambda zone: (-free[zone], zone))
+            free_gpus[capacity.zone] = free_gpus.get(capacity.zone, 0.0) + capacity.gpus
+        by_free_gpus = sorted(free_gpus, key=lambda zone: (-free_gpus[zone], zone))
         return list(by_free_gpus)
 
     def _allowed_by_zone(self, demand: Demand, capacities: list[FreeCapacity]) -> dict[str | None, list[FreeCapacity]]:
-        """The machines that the gang's job allows, per zone, or all under None."""
-        found: dict[str | None, list[FreeCapacity]] = {}
+        """The machines that the demand allows, per zone; all under None if the gang may span zones."""
+        by_zone: dict[str | None, list[FreeCapacity]] = {}
         for capacity in capacities:
             if demand.allows(capacity):
-                found.setdefault(capacity.zone if demand.spec.one_zone else None, []).append(capacity)
-        return found
+                by_zone.setdefault(capacity.zone if demand.spec.one_zone else None, []).append(capacity)
+        return by_zone
 
     @staticmethod
     def _search_key(demand: Demand, stage: tuple[int, int]) -> Hashable:
-        """The key of gangs that may be placed on the same machines, at one stage of the cycle."""
+        """A key shared by the gangs that may be placed on the same machines at one stage of the cycle."""
         spec = demand.spec
         return (
             "gang",
@@ -74,13 +74,13 @@
     def allocate_all(
         self, demand: Demand, after_stops: bool, include_booting: bool = False
     ) -> list[FreeCapacity] | None:
-        """Allocate places for all tasks of a gang, or nothing (None)."""
+        """Allocate machines for all tasks of a gang, one entry per task, or for none (None)."""
         placement, spec, tasks = self.placement, demand.spec, len(demand.indices)
         search_key = self._search_key(demand, placement.search_stage(after_stops, include_booting))
         if placement.failed_searches.known_to_fail(search_key, spec, tasks):
             return None
         capacities = placement.running + placement.booting if include_booting else placement.running
-        allowed = self._allowed_by_zone(
+        allowed_by_zone = self._allowed_by_zone(
             demand,
             [
                 capacity
@@ -90,17 +90,17 @@
         )
         best: tuple[float, list[FreeCapacity]] | None = None
         for zone in self._candidate_zones(demand):
-            candidates = allowed.get(zone, [])
+            candidates = allowed_by_zone.get(zone, [])
             if sum(capacity.slots(spec, after_stops) for capacity in candidates) < tasks:
                 continue
             taken = self._allocate_up_to_size(demand, Search(demand, candidates, placement.snapshot.now, after_stops))
             self.deallocate_all(demand, taken)
             if len(taken) == tasks:
-                # It starts once the last task has its image: a zone whose machines hold it comes before others.
-                slowest = max(fetch_s(capacity, spec) for capacity in taken)
-                if best is None or slowest < best[0]:
-                    best = slowest, taken
-                if slowest <= 0:
+                # A gang starts once its last task has the image: a zone whose machines hold the image is preferred.
+                slowest_fetch_s = max(fetch_s(capacity, spec) for capacity in taken)
+                if best is None or slowest_fetch_s < best[0]:
+                    best = slowest_fetch_s, taken
+                if slowest_fetch_s <= 0:
                     break
         if best is not None:
             for capacity in best[1]:
@@ -112,7 +112,7 @@
 
     @staticmethod
     def _allocate_up_to_size(demand: Demand, search: Search) -> list[FreeCapacity]:
-        """Allocate as many places as there are, up to the gang's size."""
+        """Allocate machines for as many tasks as fit, up to the gang's size."""
         placed = dict(demand.zones)
         taken: list[FreeCapacity] = []
         for _ in demand.indices:
@@ -126,22 +126,22 @@
         return taken
 
     def fetch_too_long(self, demand: Demand, capacities: list[FreeCapacity]) -> bool:
-        """Whether a gang that is due now would fetch its image for long there. It starts with the last of its tasks."""
+        """Whether a gang that is due now would wait for its slowest image fetch for longer than FETCH_WORTH_S."""
         return (
             demand.spec.due_s is None
             and max(fetch_s(capacity, demand.spec) for capacity in capacities) > constants.FETCH_WORTH_S
         )
 
     def deallocate_all(self, demand: Demand, capacities: list[FreeCapacity]) -> None:
-        """Give back places that were taken."""
+        """Undo the allocation of one task on each of these machines."""
         for capacity in capacities:
             capacity.deallocate(demand.spec)
 
     def preempt(self, demand: Demand, warm: bool = False, displace: bool = False) -> bool:
         """Preempt other work for a whole gang, or nothing.
 
-        `warm`: only on machines with its image. `displace`: also work within a guarantee, which is placed elsewhere.
-        The machines are reserved for the gang until it starts.
+        `warm`: only on machines with its image. `displace`: also work within a guarantee, which is placed on other
+        machines. The machines are reserved for the gang until it starts.
         """
         preemption, spec, tasks = self.placement.preemption, demand.spec, len(demand.indices)
         search_key = (
@@ -156,11 +156,11 @@
         best = self._cheapest_options(demand, warm, displace)
         if best is not None and displace:
             chosen = [option.capacity for option in best]
-            moved = sum(victim.gpus for option in best for victim in option.victims if victim.within_guarantee)
-            if preemption.replaceable_gpus(self.placement.running, chosen) - self._displaced_gpus < moved:
+            displaced_gpus = sum(victim.gpus for option in best for victim in option.victims if victim.within_guarantee)
+            if preemption.replaceable_gpus(self.placement.running, chosen) - self._displaced_gpus < displaced_gpus:
                 best = None
             else:
-                self._displaced_gpus += moved
+                self._displaced_gpus += displaced_gpus
         if best is None:
             self.placement.failed_searches.add(search_key, spec, tasks)
             return False
@@ -172,37 +172,37 @@
         return True
 
     def _cheapest_options(self, demand: Demand, warm: bool, displace: bool) -> list[MachineOption] | None:
-        """The cheapest machines of one zone, one for each task. Several tasks on one machine: see `allocate_all`."""
+        """The cheapest machines of one zone, one per task (`allocate_all` may place several tasks on one machine)."""
         preemption, spec, tasks = self.placement.preemption, demand.spec, len(demand.indices)
-        # A start that waits for a fetch comes later than one that waits for a stop.
-        weight = constants.FETCH_WEIGHT if spec.due_s is None else 1.0
+        # A start that waits for a fetch is later than one that waits for a stop.
+        fetch_weight = constants.FETCH_WEIGHT if spec.due_s is None else 1.0
         running = self.placement.with_image(spec.image) if warm else self.placement.running
         preemptible = {capacity.name for capacity in preemption.machines_with_enough(demand, running)}
-        allowed = self._allowed_by_zone(
+        allowed_by_zone = self._allowed_by_zone(
             demand,
             [capacity for capacity in running if capacity.name in preemptible or capacity.fits_after_stops(spec)],
         )
-        # Gangs are of few sizes: the victims found for one on a machine hold for the next, until the machine changes.
-        kind = preemption.equivalence_class(demand), spec.gpus, spec.cpus, spec.memory_gb, warm, displace
-        victims_by_machine = self._cached_victims.setdefault(kind, {})
+        # Gangs come in few sizes: the victims chosen on a machine serve the next gang too, until the machine changes.
+        equivalence_key = preemption.equivalence_class(demand), spec.gpus, spec.cpus, spec.memory_gb, warm, displace
+        victims_by_machine = self._cached_victims.setdefault(equivalence_key, {})
         best: tuple[float, list[MachineOption]] | None = None
         for zone in self._candidate_zones(demand):
-            capacities = allowed.get(zone, [])
+            capacities = allowed_by_zone.get(zone, [])
             if len(capacities) < tasks:
                 continue
             options: list[MachineOption] = []
             for capacity in capacities:
-                fetch = fetch_s(capacity, spec) * weight
+                fetch = fetch_s(capacity, spec) * fetch_weight
                 if capacity.fits_after_stops(spec):
                     options.append(MachineOption(fetch, capacity, []))
                 elif capacity.preemptible_tasks:
-                    # To spare a fetch no other gang loses its start.
+                    # Preemption only to save a fetch (`warm`) must not cost another gang its start.
                     chosen = self._victims(demand, capacity, warm, displace, victims_by_machine)
                     if chosen:
                         options.append(MachineOption(_preemption_cost_s(chosen) + 1.0 + fetch, capacity, chosen))
-            options.sort(key=lambda option: option.cost)
+            options.sort(key=lambda option: option.cost_s)
             if len(options) >= tasks:
-                cost = sum(option.cost for option in options[:tasks])
+                cost = sum(option.cost_s for option in options[:tasks])
                 if best is None or cost < best[0]:
                     best = cost, options[:tasks]
         return best[1] if best is not None else None
@@ -215,29 +215,33 @@
         displace: bool,
         victims_by_machine: dict[str, tuple[int, list[Victim] | None]],
     ) -> list[Victim] | None:
-        """The tasks to preempt on one machine, kept in `victims_by_machine` until the machine's version changes."""
-        found = victims_by_machine.get(capacity.name)
-        if found is None or found[0] != capacity.version:
+        """The tasks to preempt on one machine, cached in `victims_by_machine` until the machine's version changes."""
+        cached = victims_by_machine.get(capacity.name)
+        if cached is None or cached[0] != capacity.version:
             chosen = self.placement.preemption.victims(
                 demand, capacity, allow_gang_start_loss=not warm, displace=displace
             )
-            found = victims_by_machine[capacity.name] = capacity.version, chosen
-        return found[1]
+            cached = victims_by_machine[capacity.name] = capacity.version, chosen
+        return cached[1]
 
     def rent(self, demand: Demand) -> bool:
-        """Rent the missing machines of a gang in the zone where fewest are missing."""
+        """Rent the missing machines of a gang, trying first the zone with the most usable machines."""
         placement, spec = self.placement, demand.spec
         checkpoint = placement.renting.checkpoint()
-        known = placement.running + placement.booting
-        allowed = self._allowed_by_zone(demand, [capacity for capacity in known if capacity.fits_after_stops(spec)])
-        zones = sorted(self._candidate_zones(demand), key=lambda zone: (-len(allowed.get(zone, [])), zone or ""))
+        known_capacities = placement.running + placement.booting
+        allowed_by_zone = self._allowed_by_zone(
+            demand, [capacity for capacity in known_capacities if capacity.fits_after_stops(spec)]
+        )
+        zones = sorted(
+            self._candidate_zones(demand), key=lambda zone: (-len(allowed_by_zone.get(zone, [])), zone or "")
+        )
         for zone in zones:
             taken = self._allocate_up_to_size(
-                demand, Search(demand, allowed.get(zone, []), placement.snapshot.now, after_stops=True)
+                demand, Search(demand, allowed_by_zone.get(zone, []), placement.snapshot.now, after_stops=True)
             )
             placed = dict(demand.zones)
             if zone is not None:
-                # Nothing of the gang is in any zone yet: this keeps rentals to the zone that is tried.
+                # No task of the gang is placed yet: counting one restricts the rentals to the zone that is tried.
                 placed[zone] = placed.get(zone, 0) + 1
             while len(taken) < len(demand.indices):
                 capacity = placement.renting.rent(demand, placed)
--- a/winglift/policy/placement_state.py
+++ b/winglift/policy/placement_state.py
@@ -1,4 +1,4 @@
-"""The state of one scheduling cycle: the machines' free capacity, the plan so far, and what the teams' limits leave."""
+"""The state of one scheduling cycle: free capacity, the plan so far, and the remaining budgets of the teams' limits."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PlacementState:
-    """The free capacity in this cycle, and the components that allocate it."""
+    """The free capacity in one cycle, and the components that allocate it."""
 
     def __init__(self, snapshot: Snapshot) -> None:
         self.snapshot = snapshot
@@ -30,42 +30,43 @@
 
     def with_image(self, image: str) -> list[FreeCapacity]:
         """The running machines that hold or fetch this image."""
-        found = self._with_image.get(image)
-        if found is None:
-            found = self._with_image[image] = [capacity for capacity in self.running if image in capacity.images]
-        return found
+        capacities = self._with_image.get(image)
+        if capacities is None:
+            capacities = self._with_image[image] = [capacity for capacity in self.running if image in capacity.images]
+        return capacities
 
     def with_free_gpus(self, image: str | None, after_stops: bool) -> list[FreeCapacity]:
-        """The machines, or those with an image, that have any GPU free, or soon: on a busy fleet few of many.
+        """The running machines with any free GPU, a small part of a busy cluster.
 
-        Free capacity only shrinks while tasks are placed one by one; after stops the list is made anew.
+        `image`: only those that hold or fetch it. `after_stops`: also GPUs that stops under way release. Free capacity
+        only shrinks while tasks are placed, so the list is computed again only after new stops.
         """
         key = image, len(self.plan.stops) if after_stops else -1
-        found = self._with_free_gpus.get(key)
-        if found is None:
+        with_free_gpus = self._with_free_gpus.get(key)
+        if with_free_gpus is None:
             capacities = self.running if image is None else self.with_image(image)
-            found = self._with_free_gpus[key] = [
+            with_free_gpus = self._with_free_gpus[key] = [
                 capacity
                 for capacity in capacities
                 if capacity.gpus + (capacity.releasing_gpus if after_stops else 0.0) > AMOUNT_TOLERANCE
             ]
-        return found
+        return with_free_gpus
 
     def search_stage(self, after_stops: bool, include_booting: bool) -> tuple[int, int]:
-        """A key that changes whenever stops or rentals may have added free capacity."""
+        """A key that changes whenever stops or rentals may have added capacity to the machines searched."""
         return (len(self.plan.stops) if after_stops else -1, len(self.plan.rentals) if include_booting else -1)
 
     def must_start(self, demand: Demand) -> bool:
-        """Whether the task may wait no longer. Work within its team's guarantee has no slack that others could use."""
+        """Whether the task must not wait any longer. Work within its team's guarantee never waits for its slack."""
         return demand.within_guarantee or self.renting.slack_exhausted(demand)
 
 
 class QuotaBudget:
-    """What the teams' limits leave, and what was given of it in this cycle."""
+    """The teams' limits, less the tasks already running and those placed in this cycle."""
 
     def __init__(self, placement: PlacementState) -> None:
         self.placement = placement
-        self.charged: dict[str, tuple[float, float]] = {}  # team: CPUs and GPUs allocated in this cycle
+        self.charged: dict[str, tuple[float, float]] = {}  # per team: CPUs and GPUs placed in this cycle
 
     def tasks_allowed(self, demand: Demand) -> int:
         """How many tasks of this demand the team's limit still allows."""
@@ -75,14 +76,14 @@
         if team is None:
             return 0
         used = quota.used[spec.team]
-        most = 1_000_000
+        task_count = 1_000_000
         for limit, per_task, in_use in (
             (team.cpus_max, spec.cpus, used.cpus + charged_cpus),
             (team.gpus_max, spec.gpus, used.gpus + charged_gpus),
         ):
             if limit > 0 and per_task > 0:
-                most = min(most, math.floor((limit - in_use + AMOUNT_TOLERANCE) / per_task))
-        return max(0, most)
+                task_count = min(task_count, math.floor((limit - in_use + AMOUNT_TOLERANCE) / per_task))
+        return max(0, task_count)
 
     def charge(self, demand: Demand, tasks: int) -> None:
         """Count this many tasks of a demand against its team's limit for the rest of the cycle."""
@@ -90,10 +91,11 @@
         self.charged[demand.spec.team] = (cpus + demand.spec.cpus * tasks, gpus + demand.spec.gpus * tasks)
 
     def preempt_within_team(self, demand: Demand, tasks: int) -> None:
-        """Stop a team's own work of lower priority when the team's limit leaves no quota.
+        """Stop lower-priority work of the demand's own team when the team's limit leaves too little quota.
 
-        The quota is reserved for the demand: freed a task at a time, it was once taken by the team's next small tasks,
-        which were stopped in turn, 600 times in 50 s. If stopping all of it would not suffice, nothing is stopped.
+        The demand is charged against the limit at once: quota that was freed one task at a time was taken by the next
+        small tasks of the team, which were then stopped in turn, 600 times in 50 s. Nothing is stopped if stopping all
+        candidates would free too little.
         """
         spec, snapshot, preemption = demand.spec, self.placement.snapshot, self.placement.preemption
         team = snapshot.quota.teams.get(spec.team)
@@ -124,11 +126,11 @@
     def _lower_work_of_team(self, demand: Demand) -> list[tuple[Victim, FreeCapacity]]:
         """The tasks of the demand's team that it may preempt, each with its machine, the cheapest to stop first."""
         spec, preemption = demand.spec, self.placement.preemption
-        found = []
+        candidates = []
         for capacity in self.placement.running:
             if capacity.preemptible_tasks:
                 capacity.inspect()
-                found += [
+                candidates += [
                     (victim, capacity)
                     for victim in capacity.victims
                     if victim.team == spec.team
@@ -136,5 +138,5 @@
                     and victim.precedence < demand.precedence
                     and (victim.ref, victim.index) not in preemption.stopped
                 ]
-        found.sort(key=lambda pair: (pair[0].precedence, pair[0].lost_work_s * pair[0].gang_size))
-        return found
+        candidates.sort(key=lambda pair: (pair[0].precedence, pair[0].lost_work_s * pair[0].gang_size))
+        return candidates
--- a/winglift/policy/renting.py
+++ b/winglift/policy/renting.py
@@ -1,6 +1,6 @@
-"""Scale-out: which machine type is rented where (EPSM, section 4).
+"""Scale-out: which machine type is rented in which zone (EPSM, section 4).
 
-The cheapest type that meets the sub-deadline, its boot included, or else the fastest.
+The cheapest type that meets the sub-deadline, boot time included, or else the fastest.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from . import cost_model
 from .snapshot import Demand, FreeCapacity, Plan, Rental, Snapshot, zone_allowed
 
-# Numbers of rentals and of booting machines, machines per zone, and the remaining probe allowance.
+# The number of rentals, the number of booting machines, the machines per zone, and the remaining probe allowance.
 Checkpoint = tuple[int, int, dict[str, int], dict[tuple[str, str], int]]
 
 
@@ -21,16 +21,16 @@
 class RentalChoice:
     """A machine that could be rented for a task: type, zone and kind (spot or ordinary)."""
 
-    late: bool  # it would miss its sub-deadline there
+    late: bool  # the task would miss its sub-deadline on it
     ready_s: float  # boot, fetch and run time
-    key: tuple  # of those that are equally late, the smallest is taken
+    key: tuple  # sort key among choices that are equally late: the smallest is the best
     type: MachineType
     zone: str
     spot: bool
 
 
 class Renting:
-    """Chooses machine types to rent, within what the cloud has refused lately."""
+    """Chooses the machine types to rent, except those that the cloud has refused recently."""
 
     def __init__(self, snapshot: Snapshot, plan: Plan, booting: list[FreeCapacity]) -> None:
         self.snapshot = snapshot
@@ -39,7 +39,7 @@
         self._availability: dict[tuple[str, str | None, bool], bool] = {}
         self._probe_allowance = dict(
             snapshot.boot_probe_allowance
-        )  # in pools whose machines fail to boot, few are tried
+        )  # per pool whose machines fail to boot: how many more may be rented as a probe
         self.all_zones_unreachable = all(
             zone in snapshot.unreachable_zones for mtype in snapshot.types.values() for zone in mtype.zones
         )
@@ -48,11 +48,10 @@
             self.per_zone[capacity.zone] = self.per_zone.get(capacity.zone, 0) + 1
 
     def slack_exhausted(self, demand: Demand) -> bool:
-        """Whether the task may wait no longer (EPSM, section 4).
+        """Whether the task must not wait any longer (EPSM, section 4).
 
-        Its slack is the remaining time minus boot, fetch and run time and one cycle.
-
-        Boot and fetch are those of the cheapest type for this task, of those available now if there are any.
+        Its slack is the remaining time minus boot, fetch and run time and one cycle. Boot and fetch times are those of
+        the cheapest type for this task among the types available now, or among all types if none is available.
         """
         spec = demand.spec
         if spec.due_s is None:
@@ -68,25 +67,25 @@
         )
 
     def _available(self, mtype: MachineType, spec: Submission) -> bool:
-        """Whether the cloud has not refused this type lately in every zone and kind that the job allows."""
+        """Whether a zone and kind (spot or ordinary) that the job allows has no recent refusal of this type."""
         key = mtype.name, spec.zone, spec.spot
-        found = self._availability.get(key)
-        if found is None:
+        available = self._availability.get(key)
+        if available is None:
             kinds = (False, True) if spec.spot and mtype.spot_price is not None else (False,)
-            found = self._availability[key] = any(
+            available = self._availability[key] = any(
                 (mtype.name, zone, spot) not in self.snapshot.capacity_refusals
                 for zone in mtype.zones
                 for spot in kinds
                 if spec.zone in (None, zone)
             )
-        return found
+        return available
 
     def _rental_choices(self, demand: Demand, placed: dict[str, int]) -> list[RentalChoice]:
         """The machines that could be rented for one task."""
         spec = demand.spec
-        found: list[RentalChoice] = []
-        # Spot machines may be refused for now. Ordinary ones are rented instead only once the deadline requires it:
-        # with a boot ahead, the start is late for a guarantee in any case.
+        choices: list[RentalChoice] = []
+        # While spot machines are refused, ordinary ones are rented for spot work only once its slack is exhausted. This
+        # holds within a guarantee too: with a boot ahead, the start is late in any case.
         kinds = (False,) if not spec.spot else (True, False) if self.slack_exhausted(demand) else (True,)
         types = self.snapshot.types.values()
         may_wait = demand.is_speculative or (spec.due_s is not None and not demand.start_overdue)
@@ -96,24 +95,24 @@
             ready = cost_model.ready_s(spec, mtype) + demand.run_s
             for spot in kinds if mtype.spot_price is not None else (False,):
                 if may_wait and cost_model.too_expensive(spec, mtype, types, spot):
-                    # What is rented already serves all; but none is rented that costs more than being late does. Only
-                    # work that would not begin at all takes it: no class is starved for its price.
+                    # Machines already rented serve any work, but no new one is rented that costs more than the delay.
+                    # Work that has not started for long is exempt, so that no class starves because of the price.
                     continue
                 for zone in mtype.zones:
                     choice = self._choice_in_zone(demand, mtype, zone, spot, ready, placed)
                     if choice is not None:
-                        found.append(choice)
-        return found
+                        choices.append(choice)
+        return choices
 
     def _choice_in_zone(
         self, demand: Demand, mtype: MachineType, zone: str, spot: bool, ready: float, placed: dict[str, int]
     ) -> RentalChoice | None:
-        """The machine of this type in one zone as a choice, or None where it must not be rented now."""
+        """The choice of this type in one zone, or None if it must not be rented there now."""
         spec = demand.spec
         if (spec.zone is not None and zone != spec.zone) or not zone_allowed(spec, zone, placed):
             return None
         if zone in self.snapshot.unreachable_zones and not self.all_zones_unreachable:
-            # An unreachable zone seems empty, and everything was once rented there first.
+            # An unreachable zone seems to have the fewest machines: without this rule, all rentals went there first.
             return None
         failing = (mtype.name, zone) in self._probe_allowance
         if failing and self._probe_allowance[mtype.name, zone] < 1:
@@ -134,11 +133,11 @@
         return RentalChoice(late, ready, key, mtype, zone, spot)
 
     def rent(self, demand: Demand, placed: dict[str, int]) -> FreeCapacity | None:
-        """Rent a machine for one task of this demand; None if nothing adequate is available."""
+        """Rent a machine for one task of this demand. None if no adequate machine is available."""
         choices = self._rental_choices(demand, placed)
         if not choices:
             return None
-        # The cheapest that meets the sub-deadline; or else the fastest, or the cheapest of those about as fast.
+        # The cheapest that meets the sub-deadline, or else the cheapest of those about as fast as the fastest.
         similar_s = min(choice.ready_s for choice in choices) * constants.SIMILAR_LATENESS
         best = min(choices, key=lambda choice: (choice.late, choice.late and choice.ready_s > similar_s, choice.key))
         mtype, zone = best.type, best.zone
@@ -161,7 +160,7 @@
         return capacity
 
     def checkpoint(self) -> Checkpoint:
-        """The state to return to if a gang finds no place for all its tasks."""
+        """The state to roll back to if not all tasks of a gang can be placed."""
         return len(self.plan.rentals), len(self.booting), dict(self.per_zone), dict(self._probe_allowance)
 
     def rollback(self, checkpoint: Checkpoint) -> None:
@@ -173,7 +172,7 @@
 
 
 def merge_rentals(rentals: list[Rental]) -> list[Rental]:
-    """Merge rentals of one type, zone and kind into one request."""
+    """Merge rentals of the same type, zone and kind (spot or ordinary) into one request."""
     merged: dict[tuple[str, str, bool], Rental] = {}
     for rental in rentals:
         key = (rental.type, rental.zone, rental.spot)
--- a/winglift/policy/replica_relocation.py
+++ b/winglift/policy/replica_relocation.py
@@ -1,8 +1,8 @@
 """Relocation of replicas off machines that other work requires.
 
-A replica without GPUs goes to a machine that has some only where there is no other. There it would bar a gang
-that fits nowhere else for as long as it runs, since it is never preempted. So it moves, once there is capacity
-elsewhere: a relocation is not a preemption, and its service goes on with the others meanwhile.
+A replica that uses no GPU is placed on a GPU machine only if no other machine has capacity. As replicas are never
+preempted, it would block a gang that fits only there for as long as it runs. So it is moved once another machine has
+capacity. A relocation is not a preemption: meanwhile the other replicas of the service keep serving.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def _fits_after_relocation(capacity: FreeCapacity, spec: Submission, replicas: list[MovableReplica]) -> bool:
-    """Whether a task would fit there without these replicas, and once the tasks it may preempt have stopped."""
+    """Whether a task would fit without these replicas and without the tasks that it may preempt."""
     preemptible = [victim for victim in capacity.victims if victim.rank < spec.priority.rank]
     return (
         capacity.cpus
@@ -37,7 +37,7 @@
 
 
 def _relocatable_replicas(placement: PlacementState, capacity: FreeCapacity) -> list[MovableReplica]:
-    """The replicas of a machine that prefer types without GPUs, those with most CPUs first."""
+    """The replicas on a machine that prefer types without GPUs, those with the most CPUs first."""
     return sorted(
         (
             replica
@@ -49,12 +49,12 @@
 
 
 def relocate_replicas(placement: PlacementState, demand: Demand) -> bool:
-    """Move replicas off the machine that requires the fewest moves for one task of an unplaced demand.
+    """Relocate replicas to make room for one task of an unplaced demand, on the machine with the fewest relocations.
 
-    A replica is moved only if it fits elsewhere now, and only if all moves together free enough.
+    Replicas are relocated only if all of them fit on other machines now, and if that frees enough for the task.
     """
     if all(mtype.gpus > 0 for mtype in placement.snapshot.types.values()):
-        return False  # no type without GPUs to relocate to: spares a pass over 645 machines for each gang that waits
+        return False  # no type without GPUs to relocate to: saves a pass over 645 machines for each waiting gang
     best: tuple[int, FreeCapacity, list[tuple[MovableReplica, FreeCapacity]]] | None = None
     for capacity in placement.running:
         if (
@@ -76,11 +76,11 @@
         )
         if count is None or (best is not None and count >= best[0]):
             continue
-        found = allocate_elsewhere(placement, capacity, replicas[:count], placement.running, warm=False)
-        for replica, target in found:
+        relocations = allocate_elsewhere(placement, capacity, replicas[:count], placement.running, warm=False)
+        for replica, target in relocations:
             target.deallocate(replica.spec)
-        if len(found) == count:
-            best = count, capacity, found
+        if len(relocations) == count:
+            best = count, capacity, relocations
     if best is None:
         return False
     for replica, target in best[2]:
@@ -97,11 +97,11 @@
     capacities: list[FreeCapacity],
     warm: bool,
 ) -> list[tuple[MovableReplica, FreeCapacity]]:
-    """Allocate places for a machine's replicas on other machines, as far as there are any; the caller deallocates them.
+    """Allocate other machines for the replicas of one, up to the first that fits on none. The caller deallocates them.
 
-    `warm`: only on machines that hold or fetch their images.
+    `warm`: only machines that hold or fetch the replica's image.
     """
-    taken: list[tuple[MovableReplica, FreeCapacity]] = []
+    relocations: list[tuple[MovableReplica, FreeCapacity]] = []
     for replica in replicas:
         prefers_cpu_machines = cost_model.prefers_cpu_machines(replica.spec, placement.snapshot.types)
         demand = Demand(
@@ -122,5 +122,5 @@
         if target is None:
             break
         target.allocate(replica.spec)
-        taken.append((replica, target))
-    return taken
+        relocations.append((replica, target))
+    return relocations
--- a/winglift/policy/warm_pool.py
+++ b/winglift/policy/warm_pool.py
@@ -19,11 +19,12 @@
 def warm_pool_size(arrivals: Sequence[tuple[float, int]], now: float, boot_s: float, deviations: float) -> int:
     """The number of tasks to keep capacity for: those that may arrive while a machine boots.
 
-    `arrivals` holds time and tasks of recent jobs. The fullest stretch of time does not count towards the rate:
-    when the service or its users start, everything is submitted at once, and that once kept 11 machines warm.
+    `arrivals` holds the time and the number of tasks of recent jobs. The time slot with the most arrivals does not
+    count towards the rate: when the service or its users start, many jobs are submitted at once, which kept 11 machines
+    warm.
     """
     if now - max(when for when, _ in arrivals) > _idle_after_s([when for when, _ in arrivals]):
-        # No more arrivals are expected: two GPU machines were once kept warm for minutes after the last gang.
+        # No more arrivals are expected: two GPU machines were kept warm for minutes after the last gang.
         return 0
     slots: dict[int, int] = {}
     for when, tasks in arrivals:
@@ -38,9 +39,9 @@
 
 
 def _idle_after_s(times: Sequence[float]) -> float:
-    """Seconds without an arrival after which no more are expected of a class, by the mean gap between its arrivals.
+    """Seconds without an arrival after which no more are expected of a job class, from its mean gap between arrivals.
 
-    Arrivals in one slot count as one, and a single one gives no gap.
+    Arrivals in the same time slot count as one. With fewer than two slots there is no gap, and the result is infinite.
     """
     slots = len({int(when // constants.WARM_POOL_SLOT_S) for when in times})
     if slots < 2:
@@ -49,18 +50,18 @@
 
 
 def _tasks_that_fit(amount: float, each: float) -> float:
-    """How many tasks that take `each` fit into an amount; infinite if they take none of it."""
+    """How many tasks that take `each` fit into an amount. Infinite if they take none of it."""
     return amount / each if each > 0 else math.inf
 
 
 class WarmPool:
-    """Keeps capacity warm for the classes that must start sooner than a machine boots."""
+    """Keeps capacity free for the job classes that must start sooner than a machine boots."""
 
     def __init__(self, placement: PlacementState) -> None:
         self.placement = placement
 
     def _demand(self, spec: Submission) -> Demand:
-        """A demand of expected arrivals, for which no job waits yet."""
+        """A demand for expected arrivals, for which no job waits yet."""
         snapshot = self.placement.snapshot
         return Demand(
             "reserve",
@@ -76,40 +77,40 @@
     def _uncovered_tasks(
         self, target: WarmPoolTarget, capacities: Iterable[FreeCapacity], keep: bool
     ) -> tuple[int, dict[str, int]]:
-        """How many tasks of a target are not covered, neither by free capacity nor by preemptible work.
+        """The number of tasks of a target that neither free capacity nor preemptible work covers.
 
-        Also the tasks covered per zone.
+        The second result is the number of covered tasks per zone. `keep`: keep the empty machines that cover some.
         """
-        spec, left = target.spec, target.count
+        spec, uncovered = target.spec, target.count
         per_zone: dict[str, int] = {}
         zone_max = (target.count + 1) // 2 if spec.spread else target.count
         demand = self._demand(spec)
         for capacity in capacities:
-            if left <= 0:
+            if uncovered <= 0:
                 break
             if not capacity.allowed(spec) or demand.would_occupy_gpu_machine(capacity):
                 continue
             gpus, cpus = capacity.gpus + capacity.releasing_gpus, capacity.cpus + capacity.releasing_cpus
-            memory = capacity.memory_gb + capacity.releasing_memory_gb
+            memory_gb = capacity.memory_gb + capacity.releasing_memory_gb
             if capacity.preemptible_tasks:
-                more = capacity.preemptible_below(spec.priority.rank)
-                cpus, gpus, memory = cpus + more[0], gpus + more[1], memory + more[2]
-            fit = int(
+                preemptible = capacity.preemptible_below(spec.priority.rank)
+                cpus, gpus, memory_gb = cpus + preemptible[0], gpus + preemptible[1], memory_gb + preemptible[2]
+            covered = int(
                 min(
                     _tasks_that_fit(gpus, spec.gpus),
                     _tasks_that_fit(cpus, spec.cpus),
-                    _tasks_that_fit(memory, spec.memory_gb),
-                    left,
+                    _tasks_that_fit(memory_gb, spec.memory_gb),
+                    uncovered,
                     zone_max - per_zone.get(capacity.zone, 0),
                 )
                 + AMOUNT_TOLERANCE
             )
-            if fit > 0:
+            if covered > 0:
                 if keep and capacity.empty:
                     capacity.keep_warm()
-                left -= fit
-                per_zone[capacity.zone] = per_zone.get(capacity.zone, 0) + fit
-        return left, per_zone
+                uncovered -= covered
+                per_zone[capacity.zone] = per_zone.get(capacity.zone, 0) + covered
+        return uncovered, per_zone
 
     def covered_by(self, capacities: Iterable[FreeCapacity]) -> bool:
         """Whether these machines alone cover every target."""
@@ -120,19 +121,19 @@
         )
 
     def maintain(self, target: WarmPoolTarget) -> None:
-        """Keep capacity warm for a target, and rent what is missing."""
+        """Keep capacity free for a target, and rent machines for the tasks that are not covered."""
         placement = self.placement
-        # Machines in use first: an empty one is kept only if they are not enough.
+        # Machines in use come first: an empty one is kept only if they do not suffice.
         capacities = sorted(placement.running + placement.booting, key=attrgetter("empty", "ready_in"))
-        left, per_zone = self._uncovered_tasks(target, capacities, keep=True)
+        uncovered, per_zone = self._uncovered_tasks(target, capacities, keep=True)
         spec = target.spec
-        while left > 0 and placement.snapshot.may_rent:
+        while uncovered > 0 and placement.snapshot.may_rent:
             demand = self._demand(spec)
             if spec.spread:
                 demand.spec = msgspec.structs.replace(spec, tasks=max(1, target.count))
             rented = placement.renting.rent(demand, per_zone)
             if rented is None:
                 return
-            fit = max(1, min(rented.slots(spec, after_stops=False), left))
-            left -= fit
-            per_zone[rented.zone] = per_zone.get(rented.zone, 0) + fit
+            covered = max(1, min(rented.slots(spec, after_stops=False), uncovered))
+            uncovered -= covered
+            per_zone[rented.zone] = per_zone.get(rented.zone, 0) + covered
