--- a/winglift/policy/failure_detector.py
+++ b/winglift/policy/failure_detector.py
@@ -1,8 +1,8 @@
-"""Failure detection: which machines are to be deleted, probed or contacted again.
+"""Failure detection: which machines are deleted, probed or contacted again.
 
-A machine is deleted after a boot timeout, a reclaim by the cloud, a completed drain, a silence timeout, or when it can
-not be made to stop a cancelled task. The module is pure: the state of the machines is read from the cluster state, and
-the caller passes the time and which other nodes can be heard. Times are in seconds.
+A machine is deleted after a boot timeout, a reclaim by the cloud, a completed drain or a silence timeout, when it stays
+unresponsive and empty, or when it does not stop a cancelled task. The module does no I/O: it reads the machines from
+the cluster state, and the caller passes the time and which other nodes are heard. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -25,44 +25,47 @@
 class Verdict:
     """The result of one evaluation of all machines."""
 
-    # Hardly any machine is heard: this node itself may be partitioned from the others.
+    # No machine and no other node is heard: this node is probably partitioned from the others.
     isolated: bool = False
     # Machines to delete, each with the reason.
     to_delete: list[tuple[Machine, str]] = field(default_factory=list)
-    # Capacity pools (type and zone) whose new machines do not come up any more.
+    # Capacity pools (type and zone) whose new machines fail to boot.
     failing_pools: set[CapacityPool] = field(default_factory=set)
-    # Machines to ask directly whether they are alive.
+    # Machines to ask directly for a report.
     to_probe: list[Machine] = field(default_factory=list)
-    # Unresponsive machines to contact again: probably this node was the one not heard (asymmetric partition).
+    # Unresponsive machines to send commands to again: an asymmetric partition probably lost this node's messages.
     to_retry: list[Machine] = field(default_factory=list)
-    # Per zone the machine heard last. It should answer a probe if the path from this node works.
+    # In each zone, the machine heard last: it answers a probe if the network from this node to the zone works.
     control_machines: dict[str, Machine] = field(default_factory=dict)
 
 
 class FailureDetector:
-    """Evaluates in each cycle which machines to delete, probe or contact again."""
+    """Determines in each cycle which machines to delete, probe or contact again."""
 
-    def __init__(self, cluster: ClusterState, workers: Workers, skew_s: float, attended: Iterable[str]) -> None:
+    def __init__(
+        self, cluster: ClusterState, workers: Workers, skew_s: float, zones_with_controllers: Iterable[str]
+    ) -> None:
         self.cluster = cluster
         self.workers = workers
-        self.skew_s = skew_s  # how far a node's time of day may be from the true one
-        self.entitled_since: float | None = None  # since when this node leads without a doubt or a standstill
-        self.zones_with_controllers = frozenset(attended)
+        self.skew_s = skew_s  # the largest error of a node's time of day
+        # When this node became entitled to act as leader, without a pause of the process since; None if it is not.
+        self.entitled_since: float | None = None
+        self.zones_with_controllers = frozenset(zones_with_controllers)
         self._reachability = ZoneReachability(cluster, workers)
 
     @property
     def unreachable_zones(self) -> frozenset[str]:
-        """Zones most of whose machines are silent now."""
+        """Zones most of whose machines are silent."""
         return self._reachability.unreachable_zones
 
     @property
     def unheard_zones(self) -> frozenset[str]:
-        """Zones of which a new leader has received no report yet."""
+        """Zones from which a new leader has received no report yet."""
         return self._reachability.unheard_zones
 
     @property
     def asymmetric_zones(self) -> frozenset[str]:
-        """Zones with so many unresponsive machines that this node is probably the one not heard."""
+        """Zones with so many unresponsive machines that this node's messages to the zone are probably lost."""
         return self._reachability.asymmetric_zones
 
     @property
@@ -70,30 +73,35 @@
         """Whether a new leader has received no report from any machine yet."""
         return self._reachability.nothing_heard_yet
 
-    def evaluate(self, now: float, wall: float, hears_anyone: bool, hears_all: bool) -> Verdict:
+    def evaluate(self, now: float, wall_time: float, hears_anyone: bool, hears_all: bool) -> Verdict:
         """Evaluate all machines once.
 
-        `now` is the monotonic time, `wall` the time of day. `hears_anyone` and `hears_all`: whether any, and whether
-        every other node is heard (one that is not may be keeping workers' leases alive).
+        `now` is the monotonic time, `wall_time` the time of day. `hears_anyone`: whether any other node is heard.
+        `hears_all`: whether every other node is heard. A node that is not heard may still renew workers' leases.
         """
         machines = list(self.cluster.machines.values())
         counts = count_silence(machines, now, self.workers.report_s)
         if counts.leader_is_isolated(now) and not hears_anyone:
             return Verdict(isolated=True)
         self._reachability.update(machines, counts, now)
-        with_cancelled_tasks = self._machines_with_cancelled_tasks()
+        machines_with_cancelled_tasks = self._machines_with_cancelled_tasks()
         verdict = Verdict(failing_pools=self.cluster.boot_tracker.detect_failing_pools(machines, now))
         unresponsive: list[Machine] = []
         probe_before = now - constants.PROBE_REPORTS * self.workers.report_s
         for machine in machines:
             if machine.state is MachineState.DELETING:
                 continue
-            # Most machines, most of the time.
-            if _is_healthy(machine, probe_before, with_cancelled_tasks):
+            # Most machines are healthy, so this check comes first.
+            if _is_healthy(machine, probe_before, machines_with_cancelled_tasks):
                 _update_control_machine(verdict, machine)
                 continue
-            # Before all else: a machine that the lagging list calls booting may be running tasks.
-            reason = self.overdue_cancellation(machine, now, wall) if machine.name in with_cancelled_tasks else None
+            # Cancellations are checked before the boot timeout: a machine may run tasks although the cloud's list still
+            # calls it booting, since that list lags.
+            reason = (
+                self.overdue_cancellation(machine, now, wall_time)
+                if machine.name in machines_with_cancelled_tasks
+                else None
+            )
             reason = reason or self._deletion_reason(machine, now, hears_all)
             if reason is not None:
                 verdict.to_delete.append((machine, reason))
@@ -105,7 +113,7 @@
                 unresponsive.append(machine)
             elif machine.state is MachineState.UP:
                 _update_control_machine(verdict, machine)
-        verdict.to_probe += unresponsive  # after those whose silence may be the end of what runs there
+        verdict.to_probe += unresponsive  # silent machines are probed first: their tasks may have ended
         return verdict
 
     def _machines_with_cancelled_tasks(self) -> set[str]:
@@ -118,7 +126,7 @@
         }
 
     def _needs_probe(self, machine: Machine, probe_before: float) -> bool:
-        """Whether a machine with tasks has missed reports and has not been probed since `probe_before`."""
+        """Whether a machine with tasks has missed reports and was not probed after `probe_before`."""
         return (
             machine.last_heard is not None
             and machine.zone not in self.unreachable_zones
@@ -129,11 +137,11 @@
         )
 
     def _needs_retry(self, machine: Machine, now: float) -> bool:
-        """Whether an unresponsive machine is probably healthy, and this node the one that was not heard."""
+        """Whether an unresponsive machine is probably healthy, and only this node's messages were lost."""
         return machine.zone in self.asymmetric_zones and now - machine.unresponsive_since > self.workers.lease_s
 
     def silent_machines(self, now: float) -> list[Machine]:
-        """The machines silent for several reports: a successor goes on counting from when they were heard last."""
+        """The machines that missed several reports. The next leader counts their silence from their last report."""
         limit_s = constants.ZONE_SILENT_REPORTS * self.workers.report_s
         return [
             machine
@@ -144,8 +152,8 @@
     def _silence_timeout_s(self, machine: Machine, now: float, hears_all: bool) -> float:
         """The silence in seconds after which this machine is deleted.
 
-        The timeout is the shorter, the more certain it is that nothing runs there and the more users lose by waiting.
-        Deleting a live machine costs its tasks and a boot, waiting for a dead one costs its users' time.
+        The timeout is shorter the more certain it is that no task runs on the machine, and the more its users lose by
+        waiting. Deleting a live machine costs its tasks and a boot; waiting for a dead one costs its users' time.
         """
         lease_s = self.workers.lease_s
         if self._reachability.recently_unreachable(machine.zone, now):
@@ -162,34 +170,35 @@
         """The silence timeout in seconds of a machine in a zone that is or was unreachable."""
         lease_s = self.workers.lease_s
         if machine.zone in self.zones_with_controllers or not hears_all:
-            # A node in the zone may be keeping its tasks alive.
+            # A node in the zone, or one that is not heard, may be renewing the leases of its tasks.
             return lease_s * constants.SILENT_ZONE_SHARE
-        # No node in the zone, and all others are heard: what ran there is dead once its lease is over. Replicas start
-        # elsewhere at once. The rest waits longer: when the partition ends, its machines and images are there.
+        # The zone has no node, and all other nodes are heard: tasks in the zone have ended once their leases have
+        # expired. Replicas then start elsewhere at once. Other tasks wait longer, since after the partition their
+        # machines and images are available again.
         if any(task.job.is_open and task.job.kind is Kind.SERVICE for task in machine.tasks.values()):
             return lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.LEASE_OVER_S
         return lease_s * constants.SILENT_PEER_SHARE
 
     def _deletion_reason(self, machine: Machine, now: float, hears_all: bool) -> str | None:
-        """Why a machine is to be deleted now, or None. The first rule that applies counts."""
+        """The reason to delete a machine now, or None. The first rule that applies decides."""
         if machine.state is MachineState.BOOTING:
-            return self._boot_timed_out(machine, now)
+            return self._boot_timeout_reason(machine, now)
         silent_s = self._silent_s(machine, now)
-        reason = _reclaimed(machine, now, silent_s)
+        reason = _reclaim_reason(machine, now, silent_s)
         if reason is None:
-            reason = self._unresponsive_and_empty(machine, now)
+            reason = self._unresponsive_reason(machine, now)
         if reason is None:
-            reason = _drained(machine)
+            reason = _drain_reason(machine)
         if reason is None:
-            reason = self._silence_timed_out(machine, now, silent_s, hears_all)
+            reason = self._silence_reason(machine, now, silent_s, hears_all)
         return reason
 
     def _silent_s(self, machine: Machine, now: float) -> float:
-        """For how many seconds the machine has been silent, as far as that counts against it.
+        """The seconds of silence that count towards the machine's silence timeout.
 
-        After an outage or a standstill of this node, silence counts anew: once 15 machines that others had kept
-        alive through an outage of 37 s were deleted in the moment it ended. In a zone that is partitioned from all
-        nodes it goes on: no node could have kept anything alive.
+        After an outage or a pause of this node, silence is counted anew: 15 machines whose leases other nodes had
+        renewed through an outage of 37 s were deleted the moment it ended. In a zone that is partitioned from all nodes
+        the count continues, since no node can have renewed leases there.
         """
         since = self.entitled_since or 0.0
         partitioned_from_all = (
@@ -199,13 +208,13 @@
         )
         return now - (last_contact(machine) if partitioned_from_all else max(last_contact(machine), since))
 
-    def _boot_timed_out(self, machine: Machine, now: float) -> str | None:
-        """The reason to delete a machine that has been booting for too long."""
+    def _boot_timeout_reason(self, machine: Machine, now: float) -> str | None:
+        """The reason to delete a machine whose boot has timed out, or None."""
         timeout_s = self.cluster.boot_tracker.boot_timeout_s(machine, self.cluster.types.values())
         return "boot timed out" if now - machine.rented_at > timeout_s else None
 
-    def _unresponsive_and_empty(self, machine: Machine, now: float) -> str | None:
-        """The reason to delete a machine that reports, but does not receive, and runs nothing."""
+    def _unresponsive_reason(self, machine: Machine, now: float) -> str | None:
+        """The reason to delete a machine that reports but does not receive commands and has no tasks, or None."""
         since = self.entitled_since or 0.0
         if (
             machine.state is MachineState.UNRESPONSIVE
@@ -216,44 +225,44 @@
             return "unresponsive"
         return None
 
-    def _silence_timed_out(self, machine: Machine, now: float, silent_s: float, hears_all: bool) -> str | None:
-        """The reason to delete a machine that has been silent for too long."""
-        # No timeout is shorter than that, and hardly a machine is silent for so long.
+    def _silence_reason(self, machine: Machine, now: float, silent_s: float, hears_all: bool) -> str | None:
+        """The reason to delete a machine that has been silent for too long, or None."""
+        # No timeout is shorter than this, and hardly any machine is silent for so long.
         if silent_s <= constants.SILENT_REPORTS * self.workers.report_s:
             return None
         if silent_s <= self._silence_timeout_s(machine, now, hears_all):
             return None
         return f"silent for {silent_s:.1f} s"
 
-    def machines_with_overdue_cancellations(self, now: float, wall: float) -> list[tuple[Machine, str]]:
-        """The machines to delete for a cancelled task alone: a leader in doubt may still do that."""
+    def machines_with_overdue_cancellations(self, now: float, wall_time: float) -> list[tuple[Machine, str]]:
+        """The machines to delete because of cancelled tasks only. A leader in doubt may still delete these."""
         return [
             (machine, reason)
             for machine in self.cluster.machines.values()
             if machine.state is not MachineState.DELETING
-            and (reason := self.overdue_cancellation(machine, now, wall)) is not None
+            and (reason := self.overdue_cancellation(machine, now, wall_time)) is not None
         ]
 
-    def overdue_cancellation(self, machine: Machine, now: float, wall: float) -> str | None:
-        """The reason to delete a machine that can't be made to stop a cancelled task, while `cancel_s` allows it."""
+    def overdue_cancellation(self, machine: Machine, now: float, wall_time: float) -> str | None:
+        """The reason to delete a machine that has not stopped a cancelled task in time for `cancel_s`, or None."""
         cancel_s = self.workers.cancel_s
-        awaits_report = self._awaits_first_report(machine, now)
+        first_report_pending = self._first_report_pending(machine, now)
         for task in machine.tasks.values():
             if task.job.state is not JobState.CANCELLED:
                 continue
-            age_s = task.job.seconds_since_cancelled(now, wall, self.skew_s)
+            age_s = task.job.seconds_since_cancelled(now, wall_time, self.skew_s)
             if age_s <= cancel_s * constants.CANCEL_DELETE_SHARE:
                 continue
             is_last_moment = cancel_s * constants.CANCEL_LAST_SHARE < age_s < cancel_s * constants.CANCEL_OVER_SHARE
-            if awaits_report and not is_last_moment:
+            if first_report_pending and not is_last_moment:
                 continue
             return f"holds the cancelled {task.name}"
         return None
 
-    def _awaits_first_report(self, machine: Machine, now: float) -> bool:
-        """Whether a new leader, or one that stood still, still waits for the machine's first report.
+    def _first_report_pending(self, machine: Machine, now: float) -> bool:
+        """Whether a new leader, or one that was paused, still waits for the machine's first report.
 
-        Most machines have long stopped their cancelled tasks, and only the record lags.
+        Most machines stopped their cancelled tasks long ago, and only the job record lags.
         """
         since = self.entitled_since or 0.0
         heard = machine.last_heard is not None and machine.last_heard >= since
@@ -261,19 +270,19 @@
         return not heard and now - max(since, machine.known_since) < timeout_s
 
 
-def _is_healthy(machine: Machine, probe_before: float, with_cancelled_tasks: Set[str]) -> bool:
-    """Whether the machine was heard recently, and nothing speaks against it."""
+def _is_healthy(machine: Machine, probe_before: float, machines_with_cancelled_tasks: Set[str]) -> bool:
+    """Whether the machine is up, was heard recently, is not reclaimed and holds no cancelled task."""
     return (
         machine.state is MachineState.UP
         and machine.last_heard is not None
         and machine.last_heard >= probe_before
         and machine.reclaim_at is None
-        and machine.name not in with_cancelled_tasks
+        and machine.name not in machines_with_cancelled_tasks
     )
 
 
 def _update_control_machine(verdict: Verdict, machine: Machine) -> None:
-    """Make the machine the control machine of its zone if it has an address and none was heard later."""
+    """Make the machine the control machine of its zone if it has an address and no other was heard later."""
     if machine.last_heard is None or not machine.addr:
         return
     latest = verdict.control_machines.get(machine.zone)
@@ -281,8 +290,8 @@
         verdict.control_machines[machine.zone] = machine
 
 
-def _reclaimed(machine: Machine, now: float, silent_s: float) -> str | None:
-    """The reason to delete a spot machine whose reclaim time is over and that is silent since."""
+def _reclaim_reason(machine: Machine, now: float, silent_s: float) -> str | None:
+    """The reason to delete a spot machine that is silent after its reclaim time, or None."""
     if (
         machine.reclaim_at is not None
         and now > machine.reclaim_at + constants.RECLAIMED_SILENT_S
@@ -292,8 +301,8 @@
     return None
 
 
-def _drained(machine: Machine) -> str | None:
-    """The reason to delete a machine that was drained and runs nothing any more."""
+def _drain_reason(machine: Machine) -> str | None:
+    """The reason to delete a drained machine that has no tasks left, or None."""
     if machine.state is MachineState.DRAINING and not machine.tasks and machine.drain_reason != "notice":
         return machine.drain_reason
     return None
--- a/winglift/policy/zone_reachability.py
+++ b/winglift/policy/zone_reachability.py
@@ -1,6 +1,7 @@
 """Reachability per zone: partitions, suspected partitions, asymmetric partitions and zones not heard yet.
 
-A partition shows as the silence of many machines of one zone at once. The module is pure; times are monotonic seconds.
+A partition is detected when many machines of one zone are silent at once. The module does no I/O. Times are monotonic
+seconds.
 """
 
 from __future__ import annotations
@@ -18,54 +19,54 @@
 
 
 def last_contact(machine: Machine) -> float:
-    """When a machine was last heard under this term, or else when this leader began to wait for it."""
+    """When the machine was last heard in this term, or else when this leader began to wait for it."""
     return machine.last_heard if machine.last_heard is not None else machine.known_since
 
 
 @dataclass(slots=True)
 class SilenceCounts:
-    """How many machines of each zone have booted, and how many of those miss reports."""
+    """The number of booted machines in each zone, and how many of those miss reports."""
 
-    last_contact: float = 0.0  # of the machine heard last
+    last_contact: float = 0.0  # when the machine heard last was heard
     booted: CountPerZone = field(default_factory=dict)
     quiet: CountPerZone = field(default_factory=dict)  # silent for ZONE_QUIET_REPORTS report intervals
     silent: CountPerZone = field(default_factory=dict)  # silent for ZONE_SILENT_REPORTS report intervals
     any_unresponsive: bool = False
 
     def leader_is_isolated(self, now: float) -> bool:
-        """Whether no machine at all has been heard for so long that this node may be the one partitioned."""
+        """Whether no machine has been heard for so long that this node itself may be partitioned."""
         return sum(self.booted.values()) >= 2 and now - self.last_contact > constants.LEADER_ISOLATED_S
 
 
 def count_silence(machines: Iterable[Machine], now: float, report_s: float) -> SilenceCounts:
     """Count the silent machines per zone, in one pass.
 
-    Machines of an earlier term count too: a new leader that hears none of them is partitioned itself.
+    Machines inherited from an earlier term count too: a new leader that hears none of them is itself partitioned.
     """
     counts = SilenceCounts()
     booted, quiet, silent = counts.booted, counts.quiet, counts.silent
     quiet_before = now - constants.ZONE_QUIET_REPORTS * report_s
     silent_before = now - constants.ZONE_SILENT_REPORTS * report_s
-    latest = 0.0
+    latest_contact = 0.0
     for machine in machines:
         if machine.state is MachineState.BOOTING:
             continue
         zone, contact = machine.zone, last_contact(machine)
         booted[zone] = booted.get(zone, 0) + 1
-        if contact > latest:
-            latest = contact
+        if contact > latest_contact:
+            latest_contact = contact
         if contact < quiet_before:
             quiet[zone] = quiet.get(zone, 0) + 1
             if contact < silent_before:
                 silent[zone] = silent.get(zone, 0) + 1
         if machine.state is MachineState.UNRESPONSIVE:
             counts.any_unresponsive = True
-    counts.last_contact = latest
+    counts.last_contact = latest_contact
     return counts
 
 
 class ZoneReachability:
-    """Which zones are unreachable or suspected to be, kept over the cycles of one term."""
+    """Tracks over the cycles of one term which zones are unreachable or suspected to be."""
 
     def __init__(self, cluster: ClusterState, workers: Workers) -> None:
         self.cluster = cluster
@@ -83,21 +84,21 @@
         return now < self._unreachable_until.get(zone, 0.0)
 
     def suspected(self, zone: str, now: float) -> bool:
-        """Whether most of the zone's machines had missed a report within SUSPICION_MEMORY_S."""
+        """Whether most of the zone's machines had missed a report at some time within SUSPICION_MEMORY_S."""
         return now < self._suspected_until.get(zone, 0.0)
 
     def update(self, machines: list[Machine], counts: SilenceCounts, now: float) -> None:
-        """Take in one cycle's counts."""
+        """Update the state of all zones from one cycle's counts."""
         self._update_unreachable_zones(counts, now)
         self._update_unheard_zones(counts.booted, now)
         self._update_suspected_zones(counts, now)
         self._update_asymmetric_zones(machines if counts.any_unresponsive else [])
 
     def _update_unreachable_zones(self, counts: SilenceCounts, now: float) -> None:
-        """Most machines of an unreachable zone are silent.
+        """Mark the zones most of whose machines are silent as unreachable.
 
-        When a partition ends, a zone's machines come back one by one. Those still silent were once deleted then, nine
-        machines at a time: the zone is remembered for PARTITION_MEMORY_S.
+        After a partition, a zone's machines reconnect one by one. The zone counts as recently unreachable for
+        PARTITION_MEMORY_S, because machines that were still silent then were deleted, nine at a time.
         """
         self.unreachable_zones = frozenset(
             zone
@@ -108,36 +109,36 @@
             self._unreachable_until[zone] = now + constants.PARTITION_MEMORY_S
 
     def _update_suspected_zones(self, counts: SilenceCounts, now: float) -> None:
-        """Most machines of a suspected zone have missed a report.
+        """Mark the zones most of whose machines have missed a report as suspected.
 
-        Before a partition shows, its first machines look like single failures: 29 were once deleted within a second.
-        And after a partition between a leader and all workers the last ones to find another node looked like it.
+        Before a partition is detected, its first silent machines look like single failures: 29 were deleted within a
+        second. The same holds for the last workers to find another node after a partition between leader and workers.
         """
         for zone, count in counts.quiet.items():
             if count > max(1.0, constants.ZONE_SILENT_PART * counts.booted[zone]):
                 self._suspected_until[zone] = now + constants.SUSPICION_MEMORY_S
 
     def _update_asymmetric_zones(self, machines: list[Machine]) -> None:
-        """So many machines of an asymmetric zone are unresponsive that this node is probably the one not heard."""
-        alive: CountPerZone = {}
+        """Mark the zones with so many unresponsive machines that this node's messages to them are probably lost."""
+        running: CountPerZone = {}
         unresponsive: CountPerZone = {}
         for machine in machines:
             zone = machine.zone
             if machine.state in (MachineState.UP, MachineState.UNRESPONSIVE):
-                alive[zone] = alive.get(zone, 0) + 1
+                running[zone] = running.get(zone, 0) + 1
                 unresponsive[zone] = unresponsive.get(zone, 0) + (machine.state is MachineState.UNRESPONSIVE)
         self.asymmetric_zones = frozenset(
             zone
             for zone, count in unresponsive.items()
-            if count > max(1.0, constants.ASYMMETRIC_PARTITION_SHARE * alive[zone])
+            if count > max(1.0, constants.ASYMMETRIC_PARTITION_SHARE * running[zone])
         )
 
     def _update_unheard_zones(self, booted: CountPerZone, now: float) -> None:
-        """A new leader has received no report from an unheard zone yet.
+        """Mark the zones from which a new leader has received no report yet as unheard.
 
-        A partition shows by silence alone, which a new leader has not seen yet: until a zone's first report, or for as
-        many report intervals as make silence, nothing is rented there. Reports of a live zone come within
-        milliseconds.
+        A partition is detected by silence, which a new leader has not observed yet. So nothing is rented in a zone
+        until its first report, or until ZONE_SILENT_REPORTS report intervals have passed. Reports of a reachable zone
+        arrive within milliseconds.
         """
         if self._first_update is None:
             self._first_update = now
