--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""Failure detection: silence timeouts by what is known of machine, zone and nodes."""
+"""Failure detection: silence timeouts that depend on the state of the machine, its zone and the other nodes."""
 
 from __future__ import annotations
 
@@ -28,14 +28,19 @@
 LEASE_S, REPORT_S = WORKERS.lease_s, WORKERS.report_s
 
 
-def fleet(holds: dict[str, Kind], attended: str = "a") -> tuple[ClusterState, FailureDetector]:
-    """Machines vm-a0 to vm-a5 and vm-b0 to vm-b5, heard at time 0, some holding a task of a kind; led for long."""
+def cluster_and_detector(
+    task_kinds: dict[str, Kind], zones_with_controllers: str = "a"
+) -> tuple[ClusterState, FailureDetector]:
+    """Machines vm-a0 to vm-a5 and vm-b0 to vm-b5, heard at time 0, under a leader of long standing.
+
+    `task_kinds`: for each machine with a task, the kind of its job.
+    """
     cluster = ClusterState(settings(), {"g4": TYPE}, 1)
     for zone in "ab":
         for i in range(6):
             machine = cluster.register_machine(f"vm-{zone}{i}", "g4", zone, False, -500.0, 0.0)
             machine.state, machine.last_heard = MachineState.UP, 0.0
-    for number, (name, kind) in enumerate(holds.items()):
+    for number, (name, kind) in enumerate(task_kinds.items()):
         record = records.JobRecord(
             submitted_at=0.0,
             spec=spec(f"wk-{number}", kind=kind, tasks=1),
@@ -43,7 +48,7 @@
             assignments=[(name, 1, "0")],
         )
         apply_record(cluster, f"wk-{number}", 10 + number, record, -400.0)
-    failure_detector = FailureDetector(cluster, WORKERS, 0.0, attended)
+    failure_detector = FailureDetector(cluster, WORKERS, 0.0, zones_with_controllers)
     failure_detector.entitled_since = -300.0
     return cluster, failure_detector
 
@@ -51,8 +56,8 @@
 def deletion_times(
     cluster: ClusterState, failure_detector: FailureDetector, heard: str, until: float, hears_all: bool = True
 ) -> dict[str, float]:
-    """When each machine is deleted, if only those whose name begins with one of `heard` go on reporting."""
-    found: dict[str, float] = {}
+    """When each machine is deleted if only those whose names start with a prefix in `heard` keep reporting."""
+    deleted_at: dict[str, float] = {}
     now = 0.0
     while now < until:
         now += 0.5
@@ -60,29 +65,29 @@
             if machine.name.startswith(tuple(heard.split())):
                 machine.last_heard = now
         for machine, _ in failure_detector.evaluate(now, 1e9 + now, True, hears_all).to_delete:
-            found.setdefault(machine.name, now)
-    return found
+            deleted_at.setdefault(machine.name, now)
+    return deleted_at
 
 
-def test_in_a_partitioned_zone_without_a_node_replicas_move_once_their_lease_is_over():
-    cluster, failure_detector = fleet({"vm-b0": Kind.SERVICE, "vm-b1": Kind.ARRAY})
-    found = deletion_times(cluster, failure_detector, "vm-a", 60.0)
-    assert LEASE_S < found["vm-b0"] <= LEASE_S + 1.5
-    # Dead as well, but when the partition ends its machine and images are there.
-    assert found["vm-b1"] > 2 * LEASE_S and set(found) == {f"vm-b{i}" for i in range(6)}
+def test_replicas_in_a_partitioned_zone_without_a_controller_move_once_their_lease_has_expired():
+    cluster, failure_detector = cluster_and_detector({"vm-b0": Kind.SERVICE, "vm-b1": Kind.ARRAY})
+    deleted_at = deletion_times(cluster, failure_detector, "vm-a", 60.0)
+    assert LEASE_S < deleted_at["vm-b0"] <= LEASE_S + 1.5
+    # The array task has ended too, but after the partition its machine and images are available again.
+    assert deleted_at["vm-b1"] > 2 * LEASE_S and set(deleted_at) == {f"vm-b{i}" for i in range(6)}
     assert failure_detector.unreachable_zones == {"b"}
 
 
-@pytest.mark.parametrize("attended,hears_all", [("ab", True), ("a", False)])
-def test_a_partitioned_zone_is_spared_while_a_node_may_be_keeping_it_alive(attended, hears_all):
-    cluster, failure_detector = fleet({"vm-b0": Kind.SERVICE}, attended)
+@pytest.mark.parametrize("zones_with_controllers,hears_all", [("ab", True), ("a", False)])
+def test_a_partitioned_zone_is_kept_while_a_node_may_be_renewing_its_leases(zones_with_controllers, hears_all):
+    cluster, failure_detector = cluster_and_detector({"vm-b0": Kind.SERVICE}, zones_with_controllers)
     assert deletion_times(cluster, failure_detector, "vm-a", 5 * LEASE_S, hears_all) == {}
 
 
 @given(st.lists(st.floats(0.0, 1.25), min_size=6, max_size=6), st.lists(st.floats(0.0, 0.9), min_size=6, max_size=6))
-def test_the_first_machines_of_a_partition_are_not_taken_for_single_failures(phases, steps):
-    """Their last reports lie up to 1.25 intervals apart. A node in there keeps all of them alive."""
-    cluster, failure_detector = fleet({f"vm-b{i}": Kind.SERVICE for i in range(6)}, "ab")
+def test_the_first_silent_machines_of_a_partition_are_not_taken_for_single_failures(phases, steps):
+    """Their last reports are up to 1.25 intervals apart. A node in the zone renews all their leases."""
+    cluster, failure_detector = cluster_and_detector({f"vm-b{i}": Kind.SERVICE for i in range(6)}, "ab")
     for i, phase in enumerate(phases):
         cluster.machines[f"vm-b{i}"].last_heard = -phase * REPORT_S
         cluster.machines[f"vm-b{i}"].probe_failed_at = 0.5 * REPORT_S
@@ -94,34 +99,34 @@
         assert not failure_detector.evaluate(now, 1e9, True, True).to_delete
 
 
-def test_a_successor_goes_on_counting_the_silence_of_a_partitioned_zone():
-    """It once waited a whole lease anew: the replicas had been dead for that long when it began."""
-    cluster, failure_detector = fleet({"vm-b0": Kind.SERVICE})
+def test_a_new_leader_continues_counting_the_silence_of_a_partitioned_zone():
+    """A new leader waited for another whole lease, although the leases of the replicas had already expired."""
+    cluster, failure_detector = cluster_and_detector({"vm-b0": Kind.SERVICE})
     deletion_times(cluster, failure_detector, "vm-a", LEASE_S - 1)
     silence_by_name = {
         m.name: LEASE_S - 1 - (m.last_heard or 0.0) for m in failure_detector.silent_machines(LEASE_S - 1)
     }
     assert set(silence_by_name) == {f"vm-b{i}" for i in range(6)}
-    after = ClusterState(settings(), {"g4": TYPE}, 2)
-    after.silent_since = {name: LEASE_S - 1 - seconds for name, seconds in silence_by_name.items()}
+    next_cluster = ClusterState(settings(), {"g4": TYPE}, 2)
+    next_cluster.silent_since = {name: LEASE_S - 1 - seconds for name, seconds in silence_by_name.items()}
     for ref, job in cluster.jobs.items():
         record = records.JobRecord(submitted_at=0.0, spec=job.spec, next_attempt=2, assignments=[("vm-b0", 1, "0")])
-        apply_record(after, ref, job.version, record, LEASE_S)
+        apply_record(next_cluster, ref, job.version, record, LEASE_S)
     for name in cluster.machines:
-        after.register_machine(name, "g4", name[3], False, LEASE_S, 0.0)
-    later = FailureDetector(after, WORKERS, 0.0, "a")
-    later.entitled_since = LEASE_S
+        next_cluster.register_machine(name, "g4", name[3], False, LEASE_S, 0.0)
+    next_detector = FailureDetector(next_cluster, WORKERS, 0.0, "a")
+    next_detector.entitled_since = LEASE_S
     for name in ("vm-a0", "vm-a1", "vm-a2", "vm-a3", "vm-a4", "vm-a5"):
-        after.machines[name].last_heard = LEASE_S + constants.FIND_NODE_S
-    # A worker on its way to the new leader is waited for; then what the leader before had heard last counts.
-    assert not later.evaluate(LEASE_S + constants.FIND_NODE_S - 1, 1e9, True, True).to_delete
-    found = later.evaluate(LEASE_S + constants.FIND_NODE_S + 0.1, 1e9, True, True).to_delete
-    assert [m.name for m, _ in found] == ["vm-b0"]
+        next_cluster.machines[name].last_heard = LEASE_S + constants.FIND_NODE_S
+    # Workers get FIND_NODE_S to connect to the new leader; then silence counts from the reports to the previous one.
+    assert not next_detector.evaluate(LEASE_S + constants.FIND_NODE_S - 1, 1e9, True, True).to_delete
+    to_delete = next_detector.evaluate(LEASE_S + constants.FIND_NODE_S + 0.1, 1e9, True, True).to_delete
+    assert [m.name for m, _ in to_delete] == ["vm-b0"]
 
 
 @given(st.integers(0, 40))
 def test_a_single_silent_machine_is_probed_and_deleted_early_only_if_it_does_not_answer(heard_for):
-    cluster, failure_detector = fleet({"vm-b0": Kind.SERVICE, "vm-b1": Kind.ARRAY, "vm-b2": Kind.GANG})
+    cluster, failure_detector = cluster_and_detector({"vm-b0": Kind.SERVICE, "vm-b1": Kind.ARRAY, "vm-b2": Kind.GANG})
     last = heard_for / 10
     for machine in cluster.machines.values():
         machine.last_heard = last
@@ -137,26 +142,28 @@
     cluster.machines["vm-b2"].last_heard = now  # it has answered
     soon = last + constants.SILENT_REPORTS * REPORT_S + 0.1
     assert [m.name for m, _ in failure_detector.evaluate(soon, 1e9, True, True).to_delete] == ["vm-b0"]
-    # While a node is out of hearing it may be the one that hears the machine.
+    # A node that is not heard may still hear the machine.
     assert not failure_detector.evaluate(soon, 1e9, True, False).to_delete
 
 
 @pytest.mark.parametrize(
-    "answers,control,stands_still",
+    "answers,control_answers,node_paused",
     [(True, True, False), (False, True, False), (False, False, False), (False, True, True)],
 )
-def test_no_answer_counts_only_from_a_node_that_reaches_other_machines(monkeypatch, answers, control, stands_still):
-    """A leader cut off from all workers, whom it heard through other nodes, once deleted healthy machines."""
-    cluster, _ = fleet({})
+def test_a_failed_probe_counts_only_if_the_node_reaches_another_machine(
+    monkeypatch, answers, control_answers, node_paused
+):
+    """A leader that was partitioned from all workers but heard them through other nodes deleted healthy machines."""
+    cluster, _ = cluster_and_detector({})
     machine, other = cluster.machines["vm-b0"], cluster.machines["vm-b1"]
     machine.addr, other.addr = "127.0.0.1:1", "127.0.0.1:2"
-    ahead = [0.0]
-    steady = time.monotonic
-    monkeypatch.setattr(time, "monotonic", lambda: steady() + ahead[0])
+    clock_offset_s = [0.0]
+    monotonic = time.monotonic
+    monkeypatch.setattr(time, "monotonic", lambda: monotonic() + clock_offset_s[0])
 
     async def request(self, method, path, body=None, timeout=0.0):
-        ahead[0] += 30.0 if stands_still else 0.0
-        if not (answers if self.port == 1 else control):
+        clock_offset_s[0] += 30.0 if node_paused else 0.0
+        if not (answers if self.port == 1 else control_answers):
             raise NotSent("refused")
         name = b"vm-b0" if self.port == 1 else b"vm-b1"
         return Reply(
@@ -178,13 +185,13 @@
             await asyncio.sleep(0)
 
     asyncio.run(scenario())
-    assert (machine.probe_failed_at > 0) == (not answers and control and not stands_still)
+    assert (machine.probe_failed_at > 0) == (not answers and control_answers and not node_paused)
     assert (machine.seq == 7) == answers
 
 
 def test_the_last_machines_to_find_another_node_are_not_deleted():
-    """Workers whose node was cut off from them come back one by one, over two tries of 5 s."""
-    cluster, failure_detector = fleet({f"vm-b{i}": Kind.SERVICE for i in range(6)}, "ab")
+    """After a partition from their node, workers connect to another one by one, within two attempts of 5 s."""
+    cluster, failure_detector = cluster_and_detector({f"vm-b{i}": Kind.SERVICE for i in range(6)}, "ab")
     now = 0.0
     while now < 11.0:
         now += 0.5
@@ -198,13 +205,13 @@
 
 
 def test_nothing_is_rented_in_an_unreachable_zone():
-    """An unreachable zone once seemed the emptiest one."""
+    """An unreachable zone seemed to have the fewest machines and was preferred."""
 
     def zones(unreachable: frozenset[str]) -> set[str]:
         snap = Snapshot(0.0, [], [], QuotaUsage({}), {"g4": TYPE}, set(), unreachable_zones=unreachable)
         renting = Renting(snap, Plan(), [])
         capacities = [renting.rent(Demand("wk-1", spec(), [0], 1e9, 1.0, {}), {}) for _ in range(4)]
-        return {r.zone for r in capacities if r is not None}
+        return {capacity.zone for capacity in capacities if capacity is not None}
 
     assert zones(frozenset()) == {"a", "b"} and zones(frozenset("a")) == {"b"}
     assert zones(frozenset("ab")) == {"a", "b"}
--- a/tests/test_kinds.py
+++ b/tests/test_kinds.py
@@ -1,4 +1,4 @@
-"""Machine types that differ in kind: with GPUs and without, large and small, plentiful and scarce."""
+"""Machine types that differ: with and without GPUs, large and small, available and refused."""
 
 from __future__ import annotations
 
@@ -74,7 +74,9 @@
 GANG = spec("wk-3", tasks=1, cpus=43.0, gpus=4.0, memory_gb=150.0, kind=Kind.GANG, priority=Priority.HIGH)
 
 
-def capacity(name: str, mtype: cloud_messages.MachineType, zone: str = "a", **changes) -> policy_snapshot.FreeCapacity:
+def free_machine(
+    name: str, mtype: cloud_messages.MachineType, zone: str = "a", **changes
+) -> policy_snapshot.FreeCapacity:
     return policy_snapshot.FreeCapacity(
         name, mtype, zone, False, mtype.cpus, mtype.gpus, mtype.memory_gb, empty=True, **changes
     )
@@ -93,10 +95,10 @@
 
 
 @st.composite
-def types_of_kinds(draw):
-    found = {}
+def machine_types(draw):
+    types = {}
     for i in range(draw(st.integers(1, 5))):
-        found[f"t{i}"] = cloud_messages.MachineType(
+        types[f"t{i}"] = cloud_messages.MachineType(
             name=f"t{i}",
             cpus=draw(st.sampled_from([2.0, 16.0, 64.0])),
             gpus=draw(st.sampled_from([0.0, 0.0, 8.0])),
@@ -108,14 +110,14 @@
             spot_price=draw(st.sampled_from([None, 0.0, 0.5, 5.0])),
             zones=draw(st.sampled_from([["a"], ["a", "b"]])),
         )
-    return found
+    return types
 
 
 @st.composite
-def mixes(draw):
-    types = draw(types_of_kinds())
+def mixed_snapshots(draw):
+    types = draw(machine_types())
     capacities = [
-        capacity(f"m{i}", draw(st.sampled_from(list(types.values()))), images=draw(st.sampled_from([(), {"img"}])))
+        free_machine(f"m{i}", draw(st.sampled_from(list(types.values()))), images=draw(st.sampled_from([(), {"img"}])))
         for i in range(draw(st.integers(0, 5)))
     ]
     demands = []
@@ -135,78 +137,78 @@
         )
         demands.append(demand(job, job.tasks, 1000.0 + draw(st.floats(-100, 500))))
     refused = draw(st.sets(st.tuples(st.sampled_from(list(types)), st.sampled_from("ab"), st.booleans())))
-    found = snapshot(capacities, demands, types)
-    found.capacity_refusals = refused
-    return found
+    snap = snapshot(capacities, demands, types)
+    snap.capacity_refusals = refused
+    return snap
 
 
-@given(mixes())
+@given(mixed_snapshots())
 def test_no_task_goes_where_it_does_not_fit_and_the_same_input_gives_the_same_plan(snap):
-    twin = copy.deepcopy(snap)
-    left = {r.name: [r.cpus, r.gpus, r.memory_gb] for r in snap.capacities}
-    specs = {n.ref: n.spec for n in snap.demands}
+    snap_copy = copy.deepcopy(snap)
+    free = {c.name: [c.cpus, c.gpus, c.memory_gb] for c in snap.capacities}
+    specs = {d.ref: d.spec for d in snap.demands}
     plan = make_plan(snap)
-    for ref, places in plan.starts:
-        for _, name in places:
+    for ref, placements in plan.starts:
+        for _, name in placements:
             for i, amount in enumerate((specs[ref].cpus, specs[ref].gpus, specs[ref].memory_gb)):
-                left[name][i] -= amount
-    assert all(amount >= -1e-6 for amounts in left.values() for amount in amounts)
+                free[name][i] -= amount
+    assert all(amount >= -1e-6 for amounts in free.values() for amount in amounts)
     for rental in plan.rentals:
         assert (rental.type, rental.zone, rental.spot) not in snap.capacity_refusals
         assert any(
             cost_model.task_fits(job, snap.types[rental.type]) and (job.spot or not rental.spot)
             for job in specs.values()
         )
-    assert make_plan(twin) == plan
+    assert make_plan(snap_copy) == plan
 
 
-@given(mixes())
-def test_what_is_known_not_to_fit_changes_no_plan_with_several_kinds(snap):
-    twin = copy.deepcopy(snap)
-    known = make_plan(snap)
+@given(mixed_snapshots())
+def test_skipping_searches_that_are_known_to_fail_changes_no_plan_with_several_types(snap):
+    snap_copy = copy.deepcopy(snap)
+    plan = make_plan(snap)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(FailedSearches, "known_to_fail", lambda *args: False)
-        assert make_plan(twin) == known
+        assert make_plan(snap_copy) == plan
 
 
-@given(mixes())
-def test_what_is_rented_is_never_dearer_than_what_is_available_with_the_same_lateness(snap):
-    for one in snap.demands:
+@given(mixed_snapshots())
+def test_a_rental_never_costs_more_than_an_available_choice_with_the_same_lateness(snap):
+    for job_demand in snap.demands:
         renting = Renting(snap, policy_snapshot.Plan(), [])
-        choices = renting._rental_choices(one, {})
-        taken = renting.rent(one, {})
-        if taken is None:
+        choices = renting._rental_choices(job_demand, {})
+        rented = renting.rent(job_demand, {})
+        if rented is None:
             assert not choices
             continue
-        cost = cost_model.task_price(one.spec, taken.type, taken.spot)
-        ready = cost_model.ready_s(one.spec, taken.type) + one.run_s
-        late = 1000.0 + ready > one.sub_deadline
+        price = cost_model.task_price(job_demand.spec, rented.type, rented.spot)
+        ready = cost_model.ready_s(job_demand.spec, rented.type) + job_demand.run_s
+        late = 1000.0 + ready > job_demand.sub_deadline
         if late:
-            assert all(x.late for x in choices)  # the cheapest that meets the sub-deadline comes first
-            ready = min(x.ready_s for x in choices) * constants.SIMILAR_LATENESS
+            assert all(c.late for c in choices)  # a choice that meets the sub-deadline comes first
+            ready = min(c.ready_s for c in choices) * constants.SIMILAR_LATENESS
         for choice in choices:
             if choice.late == late and (not late or choice.ready_s <= ready):
-                assert cost <= cost_model.task_price(one.spec, choice.type, choice.spot) + 1e-9
+                assert price <= cost_model.task_price(job_demand.spec, choice.type, choice.spot) + 1e-9
 
 
 def test_work_with_a_deadline_rents_no_machine_that_costs_several_times_as_much():
-    """With all cheap machines refused, 20 GPU machines and 30 others at six times the price were rented for batches."""
+    """While cheap types were refused, 20 GPU machines and 30 others at six times the price were rented for arrays."""
     snap = snapshot([], [demand(BATCH, due=1010.0)])
     snap.capacity_refusals = {(t, z, s) for t in ("s", "w") for z in "ab" for s in (True, False)}
     assert make_plan(snap).rentals == []
-    # But nobody is starved for the price: what has not begun for long takes what there is.
-    one = demand(BATCH, due=1010.0)
-    one.waited_s = 100.0
-    snap = snapshot([], [one])
+    # No job starves because of the price: work that has not started for long takes any available type.
+    overdue = demand(BATCH, due=1010.0)
+    overdue.waited_s = 100.0
+    snap = snapshot([], [overdue])
     snap.capacity_refusals = {(t, z, s) for t in ("s", "w") for z in "ab" for s in (True, False)}
-    assert [r.type for r in make_plan(snap).rentals] == ["g"]
-    # Replicas and gangs are due now: they take what there is.
+    assert [rental.type for rental in make_plan(snap).rentals] == ["g"]
+    # Replicas and gangs are due now: they take any available type.
     snap = snapshot([], [demand(REPLICA, due=1000.0, run_s=0.0)])
     snap.capacity_refusals = {(t, z, False) for t in ("s", "w") for z in "ab"}
-    assert [r.type for r in make_plan(snap).rentals] == ["g"]
-    # And where its job allows no other type there is nothing cheaper.
+    assert [rental.type for rental in make_plan(snap).rentals] == ["g"]
+    # If the job allows no other type, there is no cheaper one to compare with.
     only = msgspec.structs.replace(BATCH, types=["g"])
-    assert [r.type for r in make_plan(snapshot([], [demand(only, due=1010.0)])).rentals] == ["g"]
+    assert [rental.type for rental in make_plan(snapshot([], [demand(only, due=1010.0)])).rentals] == ["g"]
 
 
 def test_memory_counts_as_much_as_cpus_and_gpus():
@@ -214,114 +216,114 @@
     assert cost_model.machine_share(big, SMALL) == pytest.approx(60 / 64) and cost_model.machine_share(
         big, WIDE
     ) == pytest.approx(60 / 128)
-    # By CPUs alone a large machine looks cheapest for it, and two fill its memory.
-    assert [r.type for r in make_plan(snapshot([], [demand(big, due=1400.0)])).rentals] == []
-    assert [r.type for r in make_plan(snapshot([], [demand(big, due=1010.0)])).rentals] == ["s"]
+    # By CPUs alone, the large type would seem cheapest, but two of these tasks fill its memory.
+    assert [rental.type for rental in make_plan(snapshot([], [demand(big, due=1400.0)])).rentals] == []
+    assert [rental.type for rental in make_plan(snapshot([], [demand(big, due=1010.0)])).rentals] == ["s"]
 
 
 def test_the_slack_wait_counts_the_boot_of_the_cheapest_type_that_is_available():
     slow = msgspec.structs.replace(WIDE, name="slow", boot_s=200.0, price=0.5, spot_price=0.1)
-    one = demand(BATCH, due=1000.0 + 50 * constants.SLACK_PAD + 100.0)
-    snap = snapshot([], [one], {"slow": slow, "w": WIDE})
-    assert Renting(snap, policy_snapshot.Plan(), []).slack_exhausted(one)  # it takes 200 s to boot
+    batch = demand(BATCH, due=1000.0 + 50 * constants.SLACK_PAD + 100.0)
+    snap = snapshot([], [batch], {"slow": slow, "w": WIDE})
+    assert Renting(snap, policy_snapshot.Plan(), []).slack_exhausted(batch)  # the cheapest type takes 200 s to boot
     snap.capacity_refusals = {("slow", z, s) for z in "ab" for s in (True, False)}
-    assert not Renting(snap, policy_snapshot.Plan(), []).slack_exhausted(one)  # nobody waits for what is not to be had
+    assert not Renting(snap, policy_snapshot.Plan(), []).slack_exhausted(batch)  # refused types don't count
 
 
-def test_work_without_gpus_goes_to_gpu_machines_last_and_replicas_never_beside_other_capacity():
-    capacities = [capacity("m1", GPU, images={"img"}, cached_images={"img"}), capacity("m2", SMALL)]
+def test_work_without_gpus_uses_gpu_machines_last():
+    capacities = [free_machine("m1", GPU, images={"img"}, cached_images={"img"}), free_machine("m2", SMALL)]
     for job in (BATCH, REPLICA):
         assert make_plan(snapshot(copy.deepcopy(capacities), [demand(job)])).starts == [(job.ref, [(0, "m2")])]
-    # What is paid for does not lie idle.
+    # A rented GPU machine is used if there is no other capacity.
     plan = make_plan(snapshot(capacities[:1], [demand(BATCH)]))
     assert plan.starts == [("wk-1", [(0, "m1")])]
 
 
-def replica(count: int, ran_s: float = 100.0) -> list[policy_snapshot.MovableReplica]:
+def replicas(count: int, ran_s: float = 100.0) -> list[policy_snapshot.MovableReplica]:
     return [
         policy_snapshot.MovableReplica(f"wk-5{i}", msgspec.structs.replace(REPLICA, ref=f"wk-5{i}"), {"a": 1}, ran_s, i)
         for i in range(count)
     ]
 
 
-@pytest.mark.parametrize("elsewhere", [True, False])
-def test_replicas_are_relocated_for_a_gang_that_fits_nowhere_else(elsewhere):
-    barred = capacity("m1", GPU, movable_replicas=replica(8))
-    barred.cpus -= 8
-    barred.empty = False
-    capacities = [barred] + ([capacity("m2", SMALL)] if elsewhere else [])
+@pytest.mark.parametrize("other_capacity", [True, False])
+def test_replicas_are_relocated_for_a_gang_that_fits_nowhere_else(other_capacity):
+    blocked = free_machine("m1", GPU, movable_replicas=replicas(8))
+    blocked.cpus -= 8
+    blocked.empty = False
+    capacities = [blocked] + ([free_machine("m2", SMALL)] if other_capacity else [])
     snap = snapshot(capacities, [demand(GANG, due=1000.0)])
     snap.capacity_refusals = {("g", z, s) for z in "ab" for s in (True, False)}
     plan = make_plan(snap)
-    # 40 CPUs are free, and it takes 43: three moves are enough, and none is made that finds no place.
-    assert len(plan.migrations) == (3 if elsewhere else 0)
-    assert plan.reservations == ({"wk-3": ["m1"]} if elsewhere else {})
+    # 40 CPUs are free and the gang needs 43: three relocations suffice, and none happens without a target machine.
+    assert len(plan.migrations) == (3 if other_capacity else 0)
+    assert plan.reservations == ({"wk-3": ["m1"]} if other_capacity else {})
 
 
-def test_nothing_is_kept_warm_for_a_class_that_no_longer_comes():
+def test_nothing_is_kept_warm_for_a_class_without_recent_arrivals():
     arrivals = [(float(t), 2) for t in range(0, 300, 30)]
     assert warm_pool_size(arrivals, 300.0, 30.0, 2.0) > 0
     assert warm_pool_size(arrivals, 270.0 + 8 * 30.0 + 1, 30.0, 2.0) == 0
-    # A class of many arrivals is not given up in an outage.
-    often = [(float(t), 2) for t in range(0, 300, 2)]
-    assert warm_pool_size(often, 298.0 + 60.0, 30.0, 2.0) > 0
-    assert warm_pool_size(often, 298.0 + 90.0, 30.0, 2.0) == 0
+    # For a class with frequent arrivals, capacity is kept through a short outage.
+    frequent = [(float(t), 2) for t in range(0, 300, 2)]
+    assert warm_pool_size(frequent, 298.0 + 60.0, 30.0, 2.0) > 0
+    assert warm_pool_size(frequent, 298.0 + 90.0, 30.0, 2.0) == 0
 
 
-class Refusing:
-    """A cloud that has nothing, and knows who asked for what."""
+class RefusingCloud:
+    """A cloud without capacity that records the requested types."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
-        self.free = asyncio.Event()
+        self.requested_types: list[str] = []
+        self.budget_free = asyncio.Event()
 
     async def turn(self) -> None:
-        await self.free.wait()
+        await self.budget_free.wait()
 
     async def rent(self, request: cloud_messages.Rent) -> list[str]:
-        self.asked.append(request.type)
+        self.requested_types.append(request.type)
         raise NoCapacity
 
     async def delete(self, names: list[str], ends: bool = False) -> None:
         pass
 
 
-def test_a_request_that_waits_is_dropped_once_its_kind_is_refused():
+def test_a_waiting_rental_is_dropped_once_its_type_and_zone_are_refused():
     async def play() -> Inventory:
-        cloud = Refusing()
-        found = Inventory(cloud, ClusterState(settings(), TYPES, 1), 3.0, OpenIntentLog())  # type: ignore[arg-type]
-        found.rent(policy_snapshot.Rental("s", "a", True, 9))
-        found._note_refusal(("s", "a", True), monotonic_time())
-        found.rent(policy_snapshot.Rental("w", "a", True, 2))
-        cloud.free.set()
+        cloud = RefusingCloud()
+        inventory = Inventory(cloud, ClusterState(settings(), TYPES, 1), 3.0, OpenIntentLog())  # type: ignore[arg-type]
+        inventory.rent(policy_snapshot.Rental("s", "a", True, 9))
+        inventory._note_refusal(("s", "a", True), monotonic_time())
+        inventory.rent(policy_snapshot.Rental("w", "a", True, 2))
+        cloud.budget_free.set()
         await asyncio.sleep(0.1)
-        assert cloud.asked == ["w"] and not found.pending_rentals and not found._unsent
-        return found
+        assert cloud.requested_types == ["w"] and not inventory.pending_rentals and not inventory._unsent
+        return inventory
 
-    found = simulated(play())
-    # Refused again and again it is asked ever more rarely, until one of its kind is given back.
+    inventory = simulated(play())
+    # After repeated refusals a type is requested less and less often, until a machine of that type is returned.
     key, until = ("w", "a", True), []
     for _ in range(5):
-        found._note_refusal(key, 0.0)
-        until.append(found.capacity_refusals[key])
+        inventory._note_refusal(key, 0.0)
+        until.append(inventory.capacity_refusals[key])
     assert (
         until == sorted(until)
         and until[-1] == constants.NO_CAPACITY_PAUSE_MAX_S
         and until[0] > constants.NO_CAPACITY_PAUSE_S
     )
-    found._clear_refusal(Machine("vm-1", WIDE, "w", "a", True, MachineState.UP, 0.0, 0.0))
-    assert key not in found.capacity_refusals
-    found._note_refusal(key, 0.0)
-    assert found.capacity_refusals[key] == constants.NO_CAPACITY_PAUSE_S
+    inventory._clear_refusal(Machine("vm-1", WIDE, "w", "a", True, MachineState.UP, 0.0, 0.0))
+    assert key not in inventory.capacity_refusals
+    inventory._note_refusal(key, 0.0)
+    assert inventory.capacity_refusals[key] == constants.NO_CAPACITY_PAUSE_S
 
 
-def test_a_deletion_for_a_cancelled_task_waits_behind_nothing():
-    """A queue of rentals on a cloud that takes 2 calls a second would have cost it seconds of cancel_s."""
-    sent: list[str] = []
+def test_a_deletion_for_a_cancelled_task_waits_for_no_other_request():
+    """Queued rentals on a cloud that allows 2 calls a second would delay the deletion by seconds of cancel_s."""
+    sent_paths: list[str] = []
 
     class Http:
         async def request(self, method, path, body=None, timeout=0.0):
-            sent.append(path)
+            sent_paths.append(path)
             return Reply(200, b'{"rigs":["vm-1"]}')
 
     async def play() -> None:
@@ -330,23 +332,23 @@
         for _ in range(4):
             asyncio.ensure_future(client.rent(cloud_messages.Rent("t1-1", "s", "a", False, 1)))
         await asyncio.sleep(0.01)
-        del sent[:]
+        del sent_paths[:]
         for _ in range(20):
             asyncio.ensure_future(client.rent(cloud_messages.Rent("t1-2", "s", "a", False, 1)))
         await asyncio.sleep(0.001)
         await client.delete(["vm-1"], for_cancellation=True)
 
     asyncio.run(play())
-    assert sent == ["/hosts/delete"]
+    assert sent_paths == ["/hosts/delete"]
 
 
-def offered(**changes) -> bytes:
-    plain = {"name": "s", "cpus": 16, "gpus": 0, "memGb": 64, "hourly": 1.0, "halls": ["a"]}
-    return msgspec.json.encode({"rigTypes": [{**plain, **changes}, {**plain, "name": "good"}]})
+def offered_types(**changes) -> bytes:
+    valid = {"name": "s", "cpus": 16, "gpus": 0, "memGb": 64, "hourly": 1.0, "halls": ["a"]}
+    return msgspec.json.encode({"rigTypes": [{**valid, **changes}, {**valid, "name": "good"}]})
 
 
 @pytest.mark.parametrize(
-    "changes,place",
+    "changes,message",
     [
         ({"cpus": 0}, "s: cpus"),
         ({"memGb": -1}, "s: memGb"),
@@ -357,25 +359,25 @@
         ({"memGb": "x"}, "memGb"),
     ],
 )
-def test_a_type_on_which_nothing_could_run_is_left_out_in_one_line(changes, place, caplog):
+def test_an_invalid_machine_type_is_left_out_with_one_log_line(changes, message, caplog):
     class Http:
         async def request(self, *args, **kwargs):
-            return Reply(200, offered(**changes))
+            return Reply(200, offered_types(**changes))
 
     client = CloudClient("127.0.0.1", 1, settings().settings.cloud, 3)
     client._http = Http()  # type: ignore[assignment]
-    found = simulated(client.types())
-    assert list(found) == ["good"]
-    assert len(caplog.records) == 1 and place in caplog.text
+    types = simulated(client.types())
+    assert list(types) == ["good"]
+    assert len(caplog.records) == 1 and message in caplog.text
 
 
 def test_a_machine_that_costs_nothing_is_rented_like_any_other():
     free = msgspec.structs.replace(SMALL, name="free", price=0.0, spot_price=0.0)
     plan = make_plan(snapshot([], [demand(BATCH, due=1010.0)], {"free": free, "w": WIDE}))
-    assert [r.type for r in plan.rentals] == ["free"]
+    assert [rental.type for rental in plan.rentals] == ["free"]
 
 
-def test_a_type_that_vanishes_refuses_no_job_for_good():
+def test_jobs_for_a_withdrawn_type_are_rejected_only_temporarily():
     node = SimpleNamespace(types={}, withdrawn_types={})
     Node._update_types(node, dict(TYPES))  # type: ignore[arg-type]
     Node._update_types(node, {"s": SMALL})  # type: ignore[arg-type]
--- a/winglift/policy/split.py
+++ b/winglift/policy/split.py
@@ -23,7 +23,7 @@
             if not unfinished_parents[child]:
                 order.append(child)
     if len(order) < len(unfinished_parents):
-        raise ValueError("the steps depend on one another in a circle")
+        raise ValueError("the dependencies of the steps form a cycle")
     return order
 
 
