--- a/winglift/policy/replica_relocation.py
+++ b/winglift/policy/replica_relocation.py
@@ -97,7 +97,7 @@
     capacities: list[FreeCapacity],
     warm: bool,
 ) -> list[tuple[MovableReplica, FreeCapacity]]:
-    """Allocate other machines for the replicas of one, up to the first that fits on none. The caller deallocates them.
+    """Allocate other machines for replicas of `capacity`, until one fits on none. The caller deallocates them.
 
     `warm`: only machines that hold or fetch the replica's image.
     """
--- a/winglift/policy/search.py
+++ b/winglift/policy/search.py
@@ -29,7 +29,8 @@
     fetch = fetch_s(capacity, spec)
     finish = now + capacity.ready_in + fetch + demand.run_s
     late = finish > demand.sub_deadline and spec.due_s is not None
-    # Concurrent fetches share a machine's fetch rate: two fetches of 5 s took 10 s each.
+    # Machines with fewer fetches under way come first, since concurrent fetches share a machine's fetch rate: two
+    # fetches of 5 s took 10 s each.
     # Replicas prefer zones with a controller node, which keeps them alive through a partition: a quarter of all
     # replicas ended in a partitioned zone without one.
     without_controller = capacity.without_controller and spec.kind is Kind.SERVICE
--- a/winglift/policy/snapshot.py
+++ b/winglift/policy/snapshot.py
@@ -232,7 +232,7 @@
     run_s: float
     zones: dict[str, int]  # number of the job's placed tasks per zone
     within_guarantee: bool = False  # within its team's guarantee
-    may_rent: bool = True  # False in most cycles for a gang that has failed to start for a long time
+    may_rent: bool = True  # False in most cycles for a gang that has waited for long without a start
     avoided_machines: frozenset[str] = frozenset()  # machines on which the job has failed
     # The job has waited so briefly that nothing is preempted for it yet: running tasks may complete in time.
     defers_preemption: bool = False
