--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -118,7 +118,8 @@
     next_detector.entitled_since = LEASE_S
     for name in ("vm-a0", "vm-a1", "vm-a2", "vm-a3", "vm-a4", "vm-a5"):
         next_cluster.machines[name].last_heard = LEASE_S + constants.FIND_NODE_S
-    # Workers get FIND_NODE_S to connect to the new leader; then silence counts from the reports to the previous one.
+    # Workers get `FIND_NODE_S` to connect to the new leader. Then silence counts from their last report to the
+    # previous leader.
     assert not next_detector.evaluate(LEASE_S + constants.FIND_NODE_S - 1, 1e9, True, True).to_delete
     to_delete = next_detector.evaluate(LEASE_S + constants.FIND_NODE_S + 0.1, 1e9, True, True).to_delete
     assert [m.name for m, _ in to_delete] == ["vm-b0"]
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -74,7 +74,7 @@
     large.waited_s = 100.0
     plan = make_plan(copy.deepcopy(snap))
     assert not plan.starts and not plan.idle_machines
-    # A job that fits in no zone blocks no other job, and is reported once it has waited for START_DEADLINE_S.
+    # A job that fits in no zone blocks no other job, and is reported once it has waited for `START_DEADLINE_S`.
     large.spec, large.indices = msgspec.structs.replace(large.spec, tasks=40), list(range(40))
     large.waited_s = 300.0
     plan = make_plan(snap)
--- a/winglift/policy/cost_model.py
+++ b/winglift/policy/cost_model.py
@@ -54,7 +54,7 @@
 
 
 def too_expensive(spec: Submission, mtype: MachineType, types: Iterable[MachineType], spot: bool) -> bool:
-    """Whether waiting is better than paying over PRICE_RATIO_MAX times the price on the cheapest type of this kind."""
+    """Whether a task's price here exceeds `PRICE_RATIO_MAX` times that on the cheapest type, ordinary or spot."""
     cheapest = cheapest_type(spec, types, spot)
     return (
         cheapest is not None
--- a/winglift/policy/failure_detector.py
+++ b/winglift/policy/failure_detector.py
@@ -77,7 +77,7 @@
         """Evaluate all machines once.
 
         `now` is the monotonic time, `wall_time` the time of day. `hears_anyone`: whether any other node is heard.
-        `hears_all`: whether every other node is heard. A node that is not heard may still renew workers' leases.
+        `hears_all`: whether every other node is heard. One that is not heard may still renew workers' leases.
         """
         machines = list(self.cluster.machines.values())
         counts = count_silence(machines, now, self.workers.report_s)
--- a/winglift/policy/gangs.py
+++ b/winglift/policy/gangs.py
@@ -126,7 +126,7 @@
         return taken
 
     def fetch_too_long(self, demand: Demand, capacities: list[FreeCapacity]) -> bool:
-        """Whether a gang that is due now would wait for its slowest image fetch for longer than FETCH_WORTH_S."""
+        """Whether a gang that is due now would wait for its slowest image fetch for longer than `FETCH_WORTH_S`."""
         return (
             demand.spec.due_s is None
             and max(fetch_s(capacity, demand.spec) for capacity in capacities) > constants.FETCH_WORTH_S
--- a/winglift/policy/plan.py
+++ b/winglift/policy/plan.py
@@ -131,7 +131,7 @@
         return self._candidates(group).preempt_cheapest(self.placed)
 
     def _fetch_too_long(self, capacity: FreeCapacity) -> bool:
-        """Whether a task that is due now would wait for its image for longer than FETCH_WORTH_S on this machine."""
+        """Whether a task that is due now would wait longer than `FETCH_WORTH_S` for its image on this machine."""
         return self.demand.spec.due_s is None and fetch_s(capacity, self.demand.spec) > constants.FETCH_WORTH_S
 
     def place(self, index: int, must_start: bool) -> bool:
--- a/winglift/policy/snapshot.py
+++ b/winglift/policy/snapshot.py
@@ -254,7 +254,7 @@
 
     @property
     def start_overdue(self) -> bool:
-        """Whether no task has started although the job has waited for RESERVATION_AFTER_SHARE of START_DEADLINE_S."""
+        """Whether no task has started within a share (`RESERVATION_AFTER_SHARE`) of the start objective."""
         return (
             self.waited_s > constants.START_DEADLINE_S * constants.RESERVATION_AFTER_SHARE
             and not self.is_probe
--- a/winglift/policy/zone_reachability.py
+++ b/winglift/policy/zone_reachability.py
@@ -29,8 +29,8 @@
 
     last_contact: float = 0.0  # when the machine heard last was heard
     booted: CountPerZone = field(default_factory=dict)
-    quiet: CountPerZone = field(default_factory=dict)  # silent for ZONE_QUIET_REPORTS report intervals
-    silent: CountPerZone = field(default_factory=dict)  # silent for ZONE_SILENT_REPORTS report intervals
+    quiet: CountPerZone = field(default_factory=dict)  # silent for `ZONE_QUIET_REPORTS` report intervals
+    silent: CountPerZone = field(default_factory=dict)  # silent for `ZONE_SILENT_REPORTS` report intervals
     any_unresponsive: bool = False
 
     def leader_is_isolated(self, now: float) -> bool:
@@ -80,11 +80,11 @@
         self._first_update: float | None = None
 
     def recently_unreachable(self, zone: str, now: float) -> bool:
-        """Whether the zone is unreachable, or was within PARTITION_MEMORY_S."""
+        """Whether the zone is unreachable, or was within `PARTITION_MEMORY_S`."""
         return now < self._unreachable_until.get(zone, 0.0)
 
     def suspected(self, zone: str, now: float) -> bool:
-        """Whether most of the zone's machines had missed a report at some time within SUSPICION_MEMORY_S."""
+        """Whether most of the zone's machines had missed a report at some time within `SUSPICION_MEMORY_S`."""
         return now < self._suspected_until.get(zone, 0.0)
 
     def update(self, machines: list[Machine], counts: SilenceCounts, now: float) -> None:
@@ -98,7 +98,7 @@
         """Mark the zones most of whose machines are silent as unreachable.
 
         After a partition, a zone's machines reconnect one by one. The zone counts as recently unreachable for
-        PARTITION_MEMORY_S, because machines that were still silent then were deleted, nine at a time.
+        `PARTITION_MEMORY_S`, because machines that were still silent then were deleted, nine at a time.
         """
         self.unreachable_zones = frozenset(
             zone
@@ -137,8 +137,8 @@
         """Mark the zones from which a new leader has received no report yet as unheard.
 
         A partition is detected by silence, which a new leader has not observed yet. So nothing is rented in a zone
-        until its first report, or until ZONE_SILENT_REPORTS report intervals have passed. Reports of a reachable zone
-        arrive within milliseconds.
+        until its first report, or until `ZONE_SILENT_REPORTS` report intervals have passed. Reports of a reachable
+        zone arrive within milliseconds.
         """
         if self._first_update is None:
             self._first_update = now
