--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -17,7 +17,7 @@
 from winglift.model.machine_state import MachineState
 from winglift.model.quota import QuotaUsage
 from winglift.model.record_application import apply_record
-from winglift.net.client import Client, NotSent, Reply
+from winglift.net.client import NotSent, PoolingHttpClient, Reply
 from winglift.policy.failure_detector import FailureDetector
 from winglift.policy.renting import Renting
 from winglift.policy.snapshot import Demand, Plan, Snapshot
@@ -49,12 +49,12 @@
         )
         apply_record(cluster, f"wk-{number}", 10 + number, record, -400.0)
     failure_detector = FailureDetector(cluster, WORKERS, 0.0, zones_with_controllers)
-    failure_detector.entitled_since = -300.0
+    failure_detector.leading_since = -300.0
     return cluster, failure_detector
 
 
 def deletion_times(
-    cluster: ClusterState, failure_detector: FailureDetector, heard: str, until: float, hears_all: bool = True
+    cluster: ClusterState, failure_detector: FailureDetector, heard: str, until: float, reaches_all_peers: bool = True
 ) -> dict[str, float]:
     """When each machine is deleted if only those whose names start with a prefix in `heard` keep reporting."""
     deleted_at: dict[str, float] = {}
@@ -64,7 +64,7 @@
         for machine in cluster.machines.values():
             if machine.name.startswith(tuple(heard.split())):
                 machine.last_heard = now
-        for machine, _ in failure_detector.evaluate(now, 1e9 + now, True, hears_all).to_delete:
+        for machine, _ in failure_detector.evaluate(now, 1e9 + now, True, reaches_all_peers).to_delete:
             deleted_at.setdefault(machine.name, now)
     return deleted_at
 
@@ -79,9 +79,9 @@
 
 
 @pytest.mark.parametrize("zones_with_controllers,hears_all", [("ab", True), ("a", False)])
-def test_a_partitioned_zone_is_kept_while_a_node_may_be_renewing_its_leases(zones_with_controllers, hears_all):
+def test_a_partitioned_zone_is_kept_while_a_node_may_be_renewing_its_leases(zones_with_controllers, reaches_all_peers):
     cluster, failure_detector = cluster_and_detector({"vm-b0": Kind.SERVICE}, zones_with_controllers)
-    assert deletion_times(cluster, failure_detector, "vm-a", 5 * LEASE_S, hears_all) == {}
+    assert deletion_times(cluster, failure_detector, "vm-a", 5 * LEASE_S, reaches_all_peers) == {}
 
 
 @given(st.lists(st.floats(0.0, 1.25), min_size=6, max_size=6), st.lists(st.floats(0.0, 0.9), min_size=6, max_size=6))
@@ -115,13 +115,13 @@
     for name in cluster.machines:
         next_cluster.register_machine(name, "g4", name[3], False, LEASE_S, 0.0)
     next_detector = FailureDetector(next_cluster, WORKERS, 0.0, "a")
-    next_detector.entitled_since = LEASE_S
+    next_detector.leading_since = LEASE_S
     for name in ("vm-a0", "vm-a1", "vm-a2", "vm-a3", "vm-a4", "vm-a5"):
-        next_cluster.machines[name].last_heard = LEASE_S + constants.FIND_NODE_S
-    # Workers get `FIND_NODE_S` to connect to the new leader. Then silence counts from their last report to the
+        next_cluster.machines[name].last_heard = LEASE_S + constants.WORKER_FAILOVER_S
+    # Workers get `WORKER_FAILOVER_S` to connect to the new leader. Then silence counts from their last report to the
     # previous leader.
-    assert not next_detector.evaluate(LEASE_S + constants.FIND_NODE_S - 1, 1e9, True, True).to_delete
-    to_delete = next_detector.evaluate(LEASE_S + constants.FIND_NODE_S + 0.1, 1e9, True, True).to_delete
+    assert not next_detector.evaluate(LEASE_S + constants.WORKER_FAILOVER_S - 1, 1e9, True, True).to_delete
+    to_delete = next_detector.evaluate(LEASE_S + constants.WORKER_FAILOVER_S + 0.1, 1e9, True, True).to_delete
     assert [m.name for m, _ in to_delete] == ["vm-b0"]
 
 
@@ -132,8 +132,8 @@
     for machine in cluster.machines.values():
         machine.last_heard = last
     others = "vm-a vm-b3 vm-b4 vm-b5"
-    assert not deletion_times(cluster, failure_detector, others, last + constants.PROBE_REPORTS * REPORT_S)
-    now = last + constants.PROBE_REPORTS * REPORT_S + 0.6
+    assert not deletion_times(cluster, failure_detector, others, last + constants.PROBE_REPORT_RATIO * REPORT_S)
+    now = last + constants.PROBE_REPORT_RATIO * REPORT_S + 0.6
     for machine in cluster.machines.values():
         if machine.name.startswith(tuple(others.split())):
             machine.last_heard = now
@@ -141,7 +141,7 @@
     assert {m.name for m in probed} == {"vm-b0", "vm-b1", "vm-b2"}
     cluster.machines["vm-b0"].probe_failed_at = cluster.machines["vm-b1"].probe_failed_at = now
     cluster.machines["vm-b2"].last_heard = now  # it has answered
-    soon = last + constants.SILENT_REPORTS * REPORT_S + 0.1
+    soon = last + constants.SILENT_MACHINE_REPORT_RATIO * REPORT_S + 0.1
     assert [m.name for m, _ in failure_detector.evaluate(soon, 1e9, True, True).to_delete] == ["vm-b0"]
     # A node that is not heard may still hear the machine.
     assert not failure_detector.evaluate(soon, 1e9, True, False).to_delete
@@ -173,7 +173,7 @@
             b'"shift":1,"tick":7,"baton":1,"recallS":null,"pieces":[]}',
         )
 
-    monkeypatch.setattr(Client, "request", request)
+    monkeypatch.setattr(PoolingHttpClient, "request", request)
 
     async def scenario() -> None:
         prober = probes.Prober(cluster, Leadership(role=Role.LEADER, term=1, valid_until=1e12))
--- a/tests/test_kinds.py
+++ b/tests/test_kinds.py
@@ -185,7 +185,7 @@
         late = 1000.0 + ready > job_demand.sub_deadline
         if late:
             assert all(c.late for c in choices)  # a choice that meets the sub-deadline comes first
-            ready = min(c.ready_s for c in choices) * constants.SIMILAR_LATENESS
+            ready = min(c.ready_s for c in choices) * constants.SIMILAR_LATENESS_RATIO
         for choice in choices:
             if choice.late == late and (not late or choice.ready_s <= ready):
                 assert price <= cost_model.task_price(job_demand.spec, choice.type, choice.spot) + 1e-9
@@ -223,7 +223,7 @@
 
 def test_the_slack_wait_counts_the_boot_of_the_cheapest_type_that_is_available():
     slow = msgspec.structs.replace(WIDE, name="slow", boot_s=200.0, price=0.5, spot_price=0.1)
-    batch = demand(BATCH, due=1000.0 + 50 * constants.SLACK_PAD + 100.0)
+    batch = demand(BATCH, due=1000.0 + 50 * constants.SLACK_PADDING_RATIO + 100.0)
     snap = snapshot([], [batch], {"slow": slow, "w": WIDE})
     assert Renting(snap, policy_snapshot.Plan(), []).slack_exhausted(batch)  # the cheapest type takes 200 s to boot
     snap.capacity_refusals = {("slow", z, s) for z in "ab" for s in (True, False)}
@@ -277,10 +277,10 @@
         self.requested_types: list[str] = []
         self.budget_free = asyncio.Event()
 
-    async def turn(self) -> None:
+    async def wait_for_budget(self) -> None:
         await self.budget_free.wait()
 
-    async def rent(self, request: cloud_messages.Rent) -> list[str]:
+    async def rent(self, request: cloud_messages.RentRequest) -> list[str]:
         self.requested_types.append(request.type)
         raise NoCapacity
 
@@ -308,13 +308,13 @@
         until.append(inventory.capacity_refusals[key])
     assert (
         until == sorted(until)
-        and until[-1] == constants.NO_CAPACITY_PAUSE_MAX_S
-        and until[0] > constants.NO_CAPACITY_PAUSE_S
+        and until[-1] == constants.CAPACITY_REFUSAL_BACKOFF_MAX_S
+        and until[0] > constants.CAPACITY_REFUSAL_BACKOFF_S
     )
     inventory._clear_refusal(Machine("vm-1", WIDE, "w", "a", True, MachineState.UP, 0.0, 0.0))
     assert key not in inventory.capacity_refusals
     inventory._note_refusal(key, 0.0)
-    assert inventory.capacity_refusals[key] == constants.NO_CAPACITY_PAUSE_S
+    assert inventory.capacity_refusals[key] == constants.CAPACITY_REFUSAL_BACKOFF_S
 
 
 def test_a_deletion_for_a_cancelled_task_waits_for_no_other_request():
@@ -330,11 +330,11 @@
         client = CloudClient("127.0.0.1", 1, settings().settings.cloud, 3)
         client._http = Http()  # type: ignore[assignment]
         for _ in range(4):
-            asyncio.ensure_future(client.rent(cloud_messages.Rent("t1-1", "s", "a", False, 1)))
+            asyncio.ensure_future(client.rent(cloud_messages.RentRequest("t1-1", "s", "a", False, 1)))
         await asyncio.sleep(0.01)
         del sent_paths[:]
         for _ in range(20):
-            asyncio.ensure_future(client.rent(cloud_messages.Rent("t1-2", "s", "a", False, 1)))
+            asyncio.ensure_future(client.rent(cloud_messages.RentRequest("t1-2", "s", "a", False, 1)))
         await asyncio.sleep(0.001)
         await client.delete(["vm-1"], for_cancellation=True)
 
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -41,14 +41,14 @@
     """A quarter of all replicas ended in a partition, when their leases expired in a zone without a controller node."""
     demand = policy_snapshot.Demand("wk-1", SERVICE, [0], 1000.0, 0.0, {})
     far, near = (
-        free_machine("m1", "b", images={"img"}, without_controller=True),
+        free_machine("m1", "b", images={"img"}, zone_lacks_controller=True),
         free_machine("m2", "a", images={"img"}),
     )
     assert make_plan(snapshot([far, near], [demand])).starts == [("wk-1", [(0, "m2")])]
-    far, near = free_machine("m1", "b", images={"img"}, without_controller=True), free_machine("m2", "a")
+    far, near = free_machine("m1", "b", images={"img"}, zone_lacks_controller=True), free_machine("m2", "a")
     assert make_plan(snapshot([far, near], [demand])).starts == [("wk-1", [(0, "m1")])]
     array = policy_snapshot.Demand("wk-2", spec("wk-2", tasks=1), [0], 1000.0, 60.0, {})
-    far, near = free_machine("m1", "b", without_controller=True), free_machine("m2", "a")
+    far, near = free_machine("m1", "b", zone_lacks_controller=True), free_machine("m2", "a")
     far.gpus = 1.0  # the fuller machine comes first for an array
     assert make_plan(snapshot([far, near], [array])).starts == [("wk-2", [(0, "m1")])]
 
@@ -151,7 +151,7 @@
                 images={"img"} if warm else frozenset(),
             )
         )
-        fetch = 0.0 if warm else gang.image_gb / TYPE.fetch_gb_per_s * constants.FETCH_WEIGHT
+        fetch = 0.0 if warm else gang.image_gb / TYPE.fetch_gb_per_s * constants.FETCH_COST_RATIO
         sufficient_sets = [
             s
             for size in range(len(victims) + 1)
@@ -176,7 +176,7 @@
     if preempted:
         stopped = {(ref, index) for ref, index, _ in placement.plan.stops}
         chosen = [c for c in capacities if c.version]
-        fetches = sum(0.0 if c.images else 2.0 * constants.FETCH_WEIGHT for c in chosen)
+        fetches = sum(0.0 if c.images else 2.0 * constants.FETCH_COST_RATIO for c in chosen)
         cost = sum(v.lost_work_s for c in capacities for v in c.victims if (v.ref, v.index) in stopped) + fetches
         assert len(chosen) == tasks
         assert cost <= min(costs) + 60.0 * tasks
@@ -192,12 +192,12 @@
         ]
         return make_plan(snap)
 
-    assert plan(free_machine("m1", "b", images={"img"}, cached_images={"img"})).image_restarts == [("wk-1", 1)]
+    assert plan(free_machine("m1", "b", images={"img"}, cached_images={"img"})).restarts_near_image == [("wk-1", 1)]
     # Neither on a machine that still fetches the image, nor in a zone that holds half of the job's tasks already.
-    assert not plan(free_machine("m1", "b", images={"img"})).image_restarts
-    assert not plan(free_machine("m1", "a", images={"img"}, cached_images={"img"})).image_restarts
+    assert not plan(free_machine("m1", "b", images={"img"})).restarts_near_image
+    assert not plan(free_machine("m1", "a", images={"img"}, cached_images={"img"})).restarts_near_image
     preempting = plan(full_machine("m1", [victim("wk-9", 0)], zone="b", images={"img"}, cached_images={"img"}))
-    assert preempting.image_restarts and preempting.stops == [("wk-9", 0, "wk-1")]
+    assert preempting.restarts_near_image and preempting.stops == [("wk-9", 0, "wk-1")]
 
 
 def test_concurrent_fetches_decide_whether_a_fetch_counts_as_stalled():
@@ -332,4 +332,4 @@
     cluster.request_stop(job.active[7], 0.0, 100.3, "test")
     cluster.transition_and_release(job.active[8], TaskEvent.MACHINE_GONE, 100.3)
     assert plan(100.4) == 2 and set(inspected) == {"vm-7", "vm-8"}
-    assert plan(100.0 + constants.INSPECTION_KEPT_S + 0.5) >= 398
+    assert plan(100.0 + constants.INSPECTION_CACHE_TTL_S + 0.5) >= 398
--- a/winglift/policy/failure_detector.py
+++ b/winglift/policy/failure_detector.py
@@ -49,7 +49,7 @@
         self.workers = workers
         self.skew_s = skew_s  # the largest error of a node's time of day
         # When this node became entitled to act as leader, without a pause of the process since; None if it is not.
-        self.entitled_since: float | None = None
+        self.leading_since: float | None = None
         self.zones_with_controllers = frozenset(zones_with_controllers)
         self._reachability = ZoneReachability(cluster, workers)
 
@@ -73,21 +73,21 @@
         """Whether a new leader has received no report from any machine yet."""
         return self._reachability.nothing_heard_yet
 
-    def evaluate(self, now: float, wall_time: float, hears_anyone: bool, hears_all: bool) -> Verdict:
+    def evaluate(self, now: float, wall_time: float, reaches_any_peer: bool, reaches_all_peers: bool) -> Verdict:
         """Evaluate all machines once.
 
-        `now` is the monotonic time, `wall_time` the time of day. `hears_anyone`: whether any other node is heard.
-        `hears_all`: whether every other node is heard. One that is not heard may still renew workers' leases.
+        `now` is the monotonic time, `wall_time` the time of day. `reaches_any_peer`: whether any other node is heard.
+        `reaches_all_peers`: whether every other node is heard. One that is not heard may still renew workers' leases.
         """
         machines = list(self.cluster.machines.values())
         counts = count_silence(machines, now, self.workers.report_s)
-        if counts.leader_is_isolated(now) and not hears_anyone:
+        if counts.leader_is_isolated(now) and not reaches_any_peer:
             return Verdict(isolated=True)
         self._reachability.update(machines, counts, now)
         machines_with_cancelled_tasks = self._machines_with_cancelled_tasks()
         verdict = Verdict(failing_pools=self.cluster.boot_tracker.detect_failing_pools(machines, now))
         unresponsive: list[Machine] = []
-        probe_before = now - constants.PROBE_REPORTS * self.workers.report_s
+        probe_before = now - constants.PROBE_REPORT_RATIO * self.workers.report_s
         for machine in machines:
             if machine.state is MachineState.DELETING:
                 continue
@@ -102,7 +102,7 @@
                 if machine.name in machines_with_cancelled_tasks
                 else None
             )
-            reason = reason or self._deletion_reason(machine, now, hears_all)
+            reason = reason or self._deletion_reason(machine, now, reaches_all_peers)
             if reason is not None:
                 verdict.to_delete.append((machine, reason))
             elif self._needs_probe(machine, probe_before):
@@ -142,14 +142,14 @@
 
     def silent_machines(self, now: float) -> list[Machine]:
         """The machines that missed several reports. The next leader counts their silence from their last report."""
-        limit_s = constants.ZONE_SILENT_REPORTS * self.workers.report_s
+        limit_s = constants.ZONE_SILENT_REPORT_RATIO * self.workers.report_s
         return [
             machine
             for machine in self.cluster.machines.values()
             if machine.state is not MachineState.BOOTING and now - last_contact(machine) > limit_s
         ]
 
-    def _silence_timeout_s(self, machine: Machine, now: float, hears_all: bool) -> float:
+    def _silence_timeout_s(self, machine: Machine, now: float, reaches_all_peers: bool) -> float:
         """The silence in seconds after which this machine is deleted.
 
         The timeout is shorter the more certain it is that no task runs on the machine, and the more its users lose by
@@ -157,29 +157,29 @@
         """
         lease_s = self.workers.lease_s
         if self._reachability.recently_unreachable(machine.zone, now):
-            return self._silence_timeout_in_partition_s(machine, hears_all)
-        if not hears_all:
-            return lease_s * constants.SILENT_PEER_SHARE
+            return self._silence_timeout_in_partition_s(machine, reaches_all_peers)
+        if not reaches_all_peers:
+            return lease_s * constants.SILENT_PEER_LEASE_RATIO
         has_urgent_tasks = any(task.job.is_open and task.job.kind is not Kind.ARRAY for task in machine.tasks.values())
         probe_failed = machine.last_heard is not None and machine.probe_failed_at > machine.last_heard
         if has_urgent_tasks and probe_failed and not self._reachability.suspected(machine.zone, now):
-            return constants.SILENT_REPORTS * self.workers.report_s
-        return lease_s * constants.SILENT_SHARE
+            return constants.SILENT_MACHINE_REPORT_RATIO * self.workers.report_s
+        return lease_s * constants.SILENT_MACHINE_LEASE_RATIO
 
-    def _silence_timeout_in_partition_s(self, machine: Machine, hears_all: bool) -> float:
+    def _silence_timeout_in_partition_s(self, machine: Machine, reaches_all_peers: bool) -> float:
         """The silence timeout in seconds of a machine in a zone that is or was unreachable."""
         lease_s = self.workers.lease_s
-        if machine.zone in self.zones_with_controllers or not hears_all:
+        if machine.zone in self.zones_with_controllers or not reaches_all_peers:
             # A node in the zone, or one that is not heard, may be renewing the leases of its tasks.
-            return lease_s * constants.SILENT_ZONE_SHARE
+            return lease_s * constants.SILENT_ZONE_LEASE_RATIO
         # The zone has no node, and all other nodes are heard: tasks in the zone have ended once their leases have
         # expired. Replicas then start elsewhere at once. Other tasks wait longer, since after the partition their
         # machines and images are available again.
         if any(task.job.is_open and task.job.kind is Kind.SERVICE for task in machine.tasks.values()):
-            return lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.LEASE_OVER_S
-        return lease_s * constants.SILENT_PEER_SHARE
+            return lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.LEASE_EXPIRY_MARGIN_S
+        return lease_s * constants.SILENT_PEER_LEASE_RATIO
 
-    def _deletion_reason(self, machine: Machine, now: float, hears_all: bool) -> str | None:
+    def _deletion_reason(self, machine: Machine, now: float, reaches_all_peers: bool) -> str | None:
         """The reason to delete a machine now, or None. The first rule that applies decides."""
         if machine.state is MachineState.BOOTING:
             return self._boot_timeout_reason(machine, now)
@@ -190,7 +190,7 @@
         if reason is None:
             reason = _drain_reason(machine)
         if reason is None:
-            reason = self._silence_reason(machine, now, silent_s, hears_all)
+            reason = self._silence_reason(machine, now, silent_s, reaches_all_peers)
         return reason
 
     def _silent_s(self, machine: Machine, now: float) -> float:
@@ -200,11 +200,11 @@
         renewed through an outage of 37 s were deleted the moment it ended. In a zone that is partitioned from all nodes
         the count continues, since no node can have renewed leases there.
         """
-        since = self.entitled_since or 0.0
+        since = self.leading_since or 0.0
         partitioned_from_all = (
             machine.zone in self.unreachable_zones
             and machine.zone not in self.zones_with_controllers
-            and now - since > constants.FIND_NODE_S
+            and now - since > constants.WORKER_FAILOVER_S
         )
         return now - (last_contact(machine) if partitioned_from_all else max(last_contact(machine), since))
 
@@ -215,22 +215,22 @@
 
     def _unresponsive_reason(self, machine: Machine, now: float) -> str | None:
         """The reason to delete a machine that reports but does not receive commands and has no tasks, or None."""
-        since = self.entitled_since or 0.0
+        since = self.leading_since or 0.0
         if (
             machine.state is MachineState.UNRESPONSIVE
             and not machine.tasks
             and machine.zone not in self.asymmetric_zones
-            and now - max(machine.unresponsive_since, since) > constants.UNRESPONSIVE_KEPT_S
+            and now - max(machine.unresponsive_since, since) > constants.UNRESPONSIVE_MACHINE_TIMEOUT_S
         ):
             return "unresponsive"
         return None
 
-    def _silence_reason(self, machine: Machine, now: float, silent_s: float, hears_all: bool) -> str | None:
+    def _silence_reason(self, machine: Machine, now: float, silent_s: float, reaches_all_peers: bool) -> str | None:
         """The reason to delete a machine that has been silent for too long, or None."""
         # No timeout is shorter than this, and hardly any machine is silent for so long.
-        if silent_s <= constants.SILENT_REPORTS * self.workers.report_s:
+        if silent_s <= constants.SILENT_MACHINE_REPORT_RATIO * self.workers.report_s:
             return None
-        if silent_s <= self._silence_timeout_s(machine, now, hears_all):
+        if silent_s <= self._silence_timeout_s(machine, now, reaches_all_peers):
             return None
         return f"silent for {silent_s:.1f} s"
 
@@ -251,9 +251,11 @@
             if task.job.state is not JobState.CANCELLED:
                 continue
             age_s = task.job.seconds_since_cancelled(now, wall_time, self.skew_s)
-            if age_s <= cancel_s * constants.CANCEL_DELETE_SHARE:
+            if age_s <= cancel_s * constants.CANCELLATION_DELETE_SHARE:
                 continue
-            is_last_moment = cancel_s * constants.CANCEL_LAST_SHARE < age_s < cancel_s * constants.CANCEL_OVER_SHARE
+            is_last_moment = (
+                cancel_s * constants.CANCELLATION_URGENT_SHARE < age_s < cancel_s * constants.CANCELLATION_OVERDUE_RATIO
+            )
             if first_report_pending and not is_last_moment:
                 continue
             return f"holds the cancelled {task.name}"
@@ -264,9 +266,9 @@
 
         Most machines stopped their cancelled tasks long ago, and only the job record lags.
         """
-        since = self.entitled_since or 0.0
+        since = self.leading_since or 0.0
         heard = machine.last_heard is not None and machine.last_heard >= since
-        timeout_s = constants.CANCEL_HEAR_REPORTS * self.workers.report_s
+        timeout_s = constants.CANCELLATION_REPORT_WAIT_RATIO * self.workers.report_s
         return not heard and now - max(since, machine.known_since) < timeout_s
 
 
@@ -294,8 +296,8 @@
     """The reason to delete a spot machine that is silent after its reclaim time, or None."""
     if (
         machine.reclaim_at is not None
-        and now > machine.reclaim_at + constants.RECLAIMED_SILENT_S
-        and silent_s > constants.RECLAIMED_SILENT_S + 1
+        and now > machine.reclaim_at + constants.RECLAIMED_SILENCE_TIMEOUT_S
+        and silent_s > constants.RECLAIMED_SILENCE_TIMEOUT_S + 1
     ):
         return "reclaimed by the cloud"
     return None
--- a/winglift/policy/gangs.py
+++ b/winglift/policy/gangs.py
@@ -22,7 +22,7 @@
 def _preemption_cost_s(victims: list[Victim]) -> float:
     """Seconds of work lost by preempting these tasks, with a surcharge for those within a guarantee."""
     return sum(
-        victim.lost_work_s * victim.gang_size + (constants.DISPLACE_S if victim.within_guarantee else 0.0)
+        victim.lost_work_s * victim.gang_size + (constants.DISPLACEMENT_COST_S if victim.within_guarantee else 0.0)
         for victim in victims
     )
 
@@ -126,10 +126,10 @@
         return taken
 
     def fetch_too_long(self, demand: Demand, capacities: list[FreeCapacity]) -> bool:
-        """Whether a gang that is due now would wait for its slowest image fetch for longer than `FETCH_WORTH_S`."""
+        """Whether a gang that is due now would wait for its slowest image fetch for longer than `LONG_FETCH_MIN_S`."""
         return (
             demand.spec.due_s is None
-            and max(fetch_s(capacity, demand.spec) for capacity in capacities) > constants.FETCH_WORTH_S
+            and max(fetch_s(capacity, demand.spec) for capacity in capacities) > constants.LONG_FETCH_MIN_S
         )
 
     def deallocate_all(self, demand: Demand, capacities: list[FreeCapacity]) -> None:
@@ -175,7 +175,7 @@
         """The cheapest machines of one zone, one per task (`allocate_all` may place several tasks on one machine)."""
         preemption, spec, tasks = self.placement.preemption, demand.spec, len(demand.indices)
         # A start that waits for a fetch is later than one that waits for a stop.
-        fetch_weight = constants.FETCH_WEIGHT if spec.due_s is None else 1.0
+        fetch_weight = constants.FETCH_COST_RATIO if spec.due_s is None else 1.0
         running = self.placement.with_image(spec.image) if warm else self.placement.running
         preemptible = {capacity.name for capacity in preemption.machines_with_enough(demand, running)}
         allowed_by_zone = self._allowed_by_zone(
--- a/winglift/policy/plan.py
+++ b/winglift/policy/plan.py
@@ -131,8 +131,8 @@
         return self._candidates(group).preempt_cheapest(self.placed)
 
     def _fetch_too_long(self, capacity: FreeCapacity) -> bool:
-        """Whether a task that is due now would wait longer than `FETCH_WORTH_S` for its image on this machine."""
-        return self.demand.spec.due_s is None and fetch_s(capacity, self.demand.spec) > constants.FETCH_WORTH_S
+        """Whether a task that is due now would wait longer than `LONG_FETCH_MIN_S` for its image on this machine."""
+        return self.demand.spec.due_s is None and fetch_s(capacity, self.demand.spec) > constants.LONG_FETCH_MIN_S
 
     def place(self, index: int, must_start: bool) -> bool:
         """Place one task. False if neither this task nor the demand's remaining ones can be placed."""
@@ -283,10 +283,10 @@
     candidate_count = 0
     for capacity in _consolidation_candidates(placement):
         capacity.inspect()
-        if any(replica.ran_s < constants.MIGRATION_AFTER_S for replica in capacity.movable_replicas):
+        if any(replica.ran_s < constants.MIGRATION_RUN_MIN_S for replica in capacity.movable_replicas):
             continue
         candidate_count += 1
-        if candidate_count > constants.MIGRATION_CANDIDATES:
+        if candidate_count > constants.MIGRATION_CANDIDATES_MAX:
             return None
         relocations = allocate_elsewhere(
             placement,
@@ -323,7 +323,7 @@
         ).preempt_cheapest(demand.zones)
         if capacity is not None:
             capacity.allocate(demand.spec)
-            placement.plan.image_restarts.append(ReplicaRef(demand.ref, stalled.index))
+            placement.plan.restarts_near_image.append(ReplicaRef(demand.ref, stalled.index))
 
 
 def make_plan(snapshot: Snapshot) -> Plan:
--- a/winglift/policy/preemption.py
+++ b/winglift/policy/preemption.py
@@ -216,7 +216,7 @@
         if not chosen:
             return None
         # A fetch delays work that is due now, so it weighs more there; for other work it counts as its duration.
-        fetch = fetch_s(capacity, demand.spec) * (constants.FETCH_WEIGHT if demand.spec.due_s is None else 1.0)
+        fetch = fetch_s(capacity, demand.spec) * (constants.FETCH_COST_RATIO if demand.spec.due_s is None else 1.0)
         cost = (
             max(victim.precedence for victim in chosen),
             sum(victim.lost_work_s * victim.gang_size for victim in chosen) + fetch,
--- a/winglift/policy/renting.py
+++ b/winglift/policy/renting.py
@@ -62,7 +62,11 @@
         ) or cost_model.cheapest_type(spec, types)
         ready = cost_model.ready_s(spec, mtype) if mtype is not None else 0.0
         return (
-            demand.sub_deadline - self.snapshot.now - demand.run_s * self.snapshot.slack_pad - ready - constants.CYCLE_S
+            demand.sub_deadline
+            - self.snapshot.now
+            - demand.run_s * self.snapshot.slack_pad
+            - ready
+            - constants.CYCLE_INTERVAL_S
             <= 0
         )
 
@@ -119,11 +123,11 @@
             return None
         if (mtype.name, zone, spot) in self.snapshot.capacity_refusals:
             return None
-        without_controller = spec.kind is Kind.SERVICE and self.snapshot.without_controller(zone)
+        zone_lacks_controller = spec.kind is Kind.SERVICE and self.snapshot.zone_lacks_controller(zone)
         key = (
             failing,
             cost_model.task_price(spec, mtype, spot),
-            without_controller,
+            zone_lacks_controller,
             placed.get(zone, 0),
             self.per_zone.get(zone, 0),
             zone,
@@ -138,7 +142,7 @@
         if not choices:
             return None
         # The cheapest that meets the sub-deadline, or else the cheapest of those about as fast as the fastest.
-        similar_s = min(choice.ready_s for choice in choices) * constants.SIMILAR_LATENESS
+        similar_s = min(choice.ready_s for choice in choices) * constants.SIMILAR_LATENESS_RATIO
         best = min(choices, key=lambda choice: (choice.late, choice.late and choice.ready_s > similar_s, choice.key))
         mtype, zone = best.type, best.zone
         capacity = FreeCapacity(
@@ -150,7 +154,7 @@
             mtype.gpus,
             mtype.memory_gb,
             ready_in=mtype.boot_s,
-            without_controller=self.snapshot.without_controller(zone),
+            zone_lacks_controller=self.snapshot.zone_lacks_controller(zone),
         )
         self.plan.rentals.append(Rental(mtype.name, zone, best.spot))
         self.per_zone[zone] = self.per_zone.get(zone, 0) + 1
--- a/winglift/policy/reservation.py
+++ b/winglift/policy/reservation.py
@@ -46,7 +46,7 @@
     No job may wait for 90 s while reserved capacity is free: capacity that was not used in time is open to any demand
     during the pause, and is then reserved again.
     """
-    reservation_age_s = demand.waited_s - constants.START_DEADLINE_S * constants.RESERVATION_AFTER_SHARE
+    reservation_age_s = demand.waited_s - constants.START_DEADLINE_S * constants.RESERVATION_DELAY_SHARE
     return (
         reservation_age_s % (constants.RESERVATION_MAX_S + constants.RESERVATION_PAUSE_S) >= constants.RESERVATION_MAX_S
     )
--- a/winglift/policy/search.py
+++ b/winglift/policy/search.py
@@ -33,14 +33,14 @@
     # fetches of 5 s took 10 s each.
     # Replicas prefer zones with a controller node, which keeps them alive through a partition: a quarter of all
     # replicas ended in a partitioned zone without one.
-    without_controller = capacity.without_controller and spec.kind is Kind.SERVICE
+    zone_lacks_controller = capacity.zone_lacks_controller and spec.kind is Kind.SERVICE
     return (
         late,
         capacity.ready_in,
         demand.would_occupy_gpu_machine(capacity),
         1 + capacity.pending_fetches if fetch > 0 else 0,
         capacity.name not in demand.preferred_machines,
-        without_controller,
+        zone_lacks_controller,
         placed.get(capacity.zone, 0) if spec.spread else 0,
         spec.spot and not capacity.spot,
         capacity.gpus - spec.gpus,
--- a/winglift/policy/snapshot.py
+++ b/winglift/policy/snapshot.py
@@ -96,7 +96,7 @@
     releasing_gpus: float = 0.0
     releasing_memory_gb: float = 0.0
     # Its zone has no controller node: in a partition, its tasks end when their lease expires.
-    without_controller: bool = False
+    zone_lacks_controller: bool = False
     # The job that the machine is reserved for. Of other jobs, only those of higher priority are placed on it.
     reserved_for: str = ""
     reserved_rank: int = 0  # priority rank of that job
@@ -254,9 +254,9 @@
 
     @property
     def start_overdue(self) -> bool:
-        """Whether no task has started within a share (`RESERVATION_AFTER_SHARE`) of the start objective."""
+        """Whether no task has started within a share (`RESERVATION_DELAY_SHARE`) of the start objective."""
         return (
-            self.waited_s > constants.START_DEADLINE_S * constants.RESERVATION_AFTER_SHARE
+            self.waited_s > constants.START_DEADLINE_S * constants.RESERVATION_DELAY_SHARE
             and not self.is_probe
             and not any(self.zones.values())
         )
@@ -318,11 +318,11 @@
     unreachable_zones: frozenset[str] = frozenset()  # partitioned zones: machines rented there could not be reached
     may_rent: bool = True
     may_migrate: bool = True  # replicas may be moved now to empty a machine
-    slack_pad: float = constants.SLACK_PAD
+    slack_pad: float = constants.SLACK_PADDING_RATIO
     stopping_gpus: dict[str, float] = field(default_factory=dict)  # per team, held by tasks that are being stopped
     stopping_cpus: dict[str, float] = field(default_factory=dict)
 
-    def without_controller(self, zone: str) -> bool:
+    def zone_lacks_controller(self, zone: str) -> bool:
         """Whether the zone has no controller node."""
         return self.zones_with_controllers is not None and zone not in self.zones_with_controllers
 
@@ -364,7 +364,7 @@
     stops: list[TaskStop] = field(default_factory=list)
     # For each gang, the machines reserved for it while preempted tasks stop.
     reservations: dict[str, list[str]] = field(default_factory=dict)
-    image_restarts: list[ReplicaRef] = field(default_factory=list)  # to restart on machines with their image
+    restarts_near_image: list[ReplicaRef] = field(default_factory=list)  # to restart on machines with their image
     # Replicas to move so that a gang can start.
     migrations: list[ReplicaRef] = field(default_factory=list)
     rentals: list[Rental] = field(default_factory=list)
--- a/winglift/policy/warm_pool.py
+++ b/winglift/policy/warm_pool.py
@@ -31,7 +31,7 @@
         slot = int((now - when) // constants.WARM_POOL_SLOT_S)
         slots[slot] = slots.get(slot, 0) + tasks
     total = sum(tasks for _, tasks in arrivals) - max(slots.values())
-    span = max(constants.WARM_POOL_SPAN_S, now - min(when for when, _ in arrivals)) - constants.WARM_POOL_SLOT_S
+    span = max(constants.WARM_POOL_SPAN_MIN_S, now - min(when for when, _ in arrivals)) - constants.WARM_POOL_SLOT_S
     expected = total / span * boot_s
     mean = sum(tasks for _, tasks in arrivals) / len(arrivals)
     largest = max(tasks for _, tasks in arrivals)
@@ -46,7 +46,9 @@
     slots = len({int(when // constants.WARM_POOL_SLOT_S) for when in times})
     if slots < 2:
         return math.inf
-    return max(constants.WARM_POOL_QUIET_S, constants.WARM_POOL_QUIET_GAPS * (max(times) - min(times)) / (slots - 1))
+    return max(
+        constants.WARM_POOL_QUIET_MIN_S, constants.WARM_POOL_QUIET_GAPS * (max(times) - min(times)) / (slots - 1)
+    )
 
 
 def _tasks_that_fit(amount: float, each: float) -> float:
--- a/winglift/policy/zone_reachability.py
+++ b/winglift/policy/zone_reachability.py
@@ -29,13 +29,13 @@
 
     last_contact: float = 0.0  # when the machine heard last was heard
     booted: CountPerZone = field(default_factory=dict)
-    quiet: CountPerZone = field(default_factory=dict)  # silent for `ZONE_QUIET_REPORTS` report intervals
-    silent: CountPerZone = field(default_factory=dict)  # silent for `ZONE_SILENT_REPORTS` report intervals
+    quiet: CountPerZone = field(default_factory=dict)  # silent for `ZONE_LATE_REPORT_RATIO` report intervals
+    silent: CountPerZone = field(default_factory=dict)  # silent for `ZONE_SILENT_REPORT_RATIO` report intervals
     any_unresponsive: bool = False
 
     def leader_is_isolated(self, now: float) -> bool:
         """Whether no machine has been heard for so long that this node itself may be partitioned."""
-        return sum(self.booted.values()) >= 2 and now - self.last_contact > constants.LEADER_ISOLATED_S
+        return sum(self.booted.values()) >= 2 and now - self.last_contact > constants.LEADER_ISOLATION_TIMEOUT_S
 
 
 def count_silence(machines: Iterable[Machine], now: float, report_s: float) -> SilenceCounts:
@@ -45,8 +45,8 @@
     """
     counts = SilenceCounts()
     booted, quiet, silent = counts.booted, counts.quiet, counts.silent
-    quiet_before = now - constants.ZONE_QUIET_REPORTS * report_s
-    silent_before = now - constants.ZONE_SILENT_REPORTS * report_s
+    quiet_before = now - constants.ZONE_LATE_REPORT_RATIO * report_s
+    silent_before = now - constants.ZONE_SILENT_REPORT_RATIO * report_s
     latest_contact = 0.0
     for machine in machines:
         if machine.state is MachineState.BOOTING:
@@ -80,11 +80,11 @@
         self._first_update: float | None = None
 
     def recently_unreachable(self, zone: str, now: float) -> bool:
-        """Whether the zone is unreachable, or was within `PARTITION_MEMORY_S`."""
+        """Whether the zone is unreachable, or was within `PARTITION_RECOVERY_S`."""
         return now < self._unreachable_until.get(zone, 0.0)
 
     def suspected(self, zone: str, now: float) -> bool:
-        """Whether most of the zone's machines had missed a report at some time within `SUSPICION_MEMORY_S`."""
+        """Whether most of the zone's machines had missed a report at some time within `ZONE_SUSPICION_TIMEOUT_S`."""
         return now < self._suspected_until.get(zone, 0.0)
 
     def update(self, machines: list[Machine], counts: SilenceCounts, now: float) -> None:
@@ -98,15 +98,15 @@
         """Mark the zones most of whose machines are silent as unreachable.
 
         After a partition, a zone's machines reconnect one by one. The zone counts as recently unreachable for
-        `PARTITION_MEMORY_S`, because machines that were still silent then were deleted, nine at a time.
+        `PARTITION_RECOVERY_S`, because machines that were still silent then were deleted, nine at a time.
         """
         self.unreachable_zones = frozenset(
             zone
             for zone, count in counts.silent.items()
-            if count > max(1.0, constants.ZONE_SILENT_PART * counts.booted[zone])
+            if count > max(1.0, constants.ZONE_SILENT_MACHINES_SHARE * counts.booted[zone])
         )
         for zone in self.unreachable_zones:
-            self._unreachable_until[zone] = now + constants.PARTITION_MEMORY_S
+            self._unreachable_until[zone] = now + constants.PARTITION_RECOVERY_S
 
     def _update_suspected_zones(self, counts: SilenceCounts, now: float) -> None:
         """Mark the zones most of whose machines have missed a report as suspected.
@@ -115,8 +115,8 @@
         second. The same holds for the last workers to find another node after a partition between leader and workers.
         """
         for zone, count in counts.quiet.items():
-            if count > max(1.0, constants.ZONE_SILENT_PART * counts.booted[zone]):
-                self._suspected_until[zone] = now + constants.SUSPICION_MEMORY_S
+            if count > max(1.0, constants.ZONE_SILENT_MACHINES_SHARE * counts.booted[zone]):
+                self._suspected_until[zone] = now + constants.ZONE_SUSPICION_TIMEOUT_S
 
     def _update_asymmetric_zones(self, machines: list[Machine]) -> None:
         """Mark the zones with so many unresponsive machines that this node's messages to them are probably lost."""
@@ -137,12 +137,12 @@
         """Mark the zones from which a new leader has received no report yet as unheard.
 
         A partition is detected by silence, which a new leader has not observed yet. So nothing is rented in a zone
-        until its first report, or until `ZONE_SILENT_REPORTS` report intervals have passed. Reports of a reachable
+        until its first report, or until `ZONE_SILENT_REPORT_RATIO` report intervals have passed. Reports of a reachable
         zone arrive within milliseconds.
         """
         if self._first_update is None:
             self._first_update = now
-        if now - self._first_update > constants.ZONE_SILENT_REPORTS * self.workers.report_s:
+        if now - self._first_update > constants.ZONE_SILENT_REPORT_RATIO * self.workers.report_s:
             self.unheard_zones, self.nothing_heard_yet = frozenset(), False
             return
         heard = {machine.zone for machine in self.cluster.machines.values() if machine.last_heard is not None}
