--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -78,7 +78,7 @@
     assert failure_detector.unreachable_zones == {"b"}
 
 
-@pytest.mark.parametrize("zones_with_controllers,hears_all", [("ab", True), ("a", False)])
+@pytest.mark.parametrize("zones_with_controllers,reaches_all_peers", [("ab", True), ("a", False)])
 def test_a_partitioned_zone_is_kept_while_a_node_may_be_renewing_its_leases(zones_with_controllers, reaches_all_peers):
     cluster, failure_detector = cluster_and_detector({"vm-b0": Kind.SERVICE}, zones_with_controllers)
     assert deletion_times(cluster, failure_detector, "vm-a", 5 * LEASE_S, reaches_all_peers) == {}
