--- a/winglift/__main__.py
+++ b/winglift/__main__.py
@@ -1,4 +1,4 @@
-"""python -m winglift: the command line."""
+"""Entry point of `python -m winglift`."""
 
 import sys
 
--- a/winglift/controller/draining.py
+++ b/winglift/controller/draining.py
@@ -1,4 +1,4 @@
-"""Draining: tasks leave reclaimed and faulty machines in time; idle and thinly used machines are returned."""
+"""Draining of machines that are reclaimed, faulty or little used, and deletion of idle ones."""
 
 from __future__ import annotations
 
@@ -16,17 +16,20 @@
 
 log = logging.getLogger(__name__)
 
-# Drain reasons, as they stand in the intent log.
+# Drain reasons, as stored in the intent log.
 CONSOLIDATION = "emptied"
 RECLAIM_NOTICE = "notice"
 
-PAID_BOUNDARY_MARGIN_S = 2.0  # so long before the end of the first paid stretch an idle machine may be returned
-SAVE_MARGIN_S = 4.0  # beside the save itself, before a machine is reclaimed
-STOP_MARGIN_S = 3.0  # for tasks that save nothing
+MINIMUM_CHARGE_MARGIN_S = 2.0  # an idle machine may be deleted this long before its minimum charge is used up
+SAVE_MARGIN_S = 4.0  # time kept before a machine is reclaimed, besides the time for saving a checkpoint
+STOP_MARGIN_S = 3.0  # the same for tasks without checkpoints
 
 
 class Drainer:
-    """Drains machines: returns idle ones and moves replicas off thinly used ones, at a bounded pace."""
+    """Deletes idle machines, stops the tasks of draining ones, and migrates replicas off little used ones.
+
+    Migrations are limited in rate.
+    """
 
     def __init__(self, cluster: ClusterState, inventory: Inventory, script: Script, workers: Workers) -> None:
         self.cluster = cluster
@@ -36,13 +39,16 @@
         self.next_migration_at = 0.0  # monotonic time (s) from which a replica may be migrated again
 
     def may_migrate(self, now: float) -> bool:
-        """May a replica be migrated now? Migrations are paced by the downtime they cost."""
+        """Whether a replica may be migrated now. The downtime of migrations limits their rate."""
         return now >= self.next_migration_at
 
-    def return_idle(self, spare: set[str], now: float) -> None:
-        """Return idle machines near the boundary of what is paid: after the first paid stretch, at any second."""
-        # Sorted: the order of a set of names differs from one process to the next.
-        for name in sorted(spare):
+    def delete_idle_machines(self, idle_machines: set[str], now: float) -> None:
+        """Delete machines that have been idle for `idle_keep_s` and whose minimum charge is nearly used up.
+
+        After the minimum charge, machines are charged by the second.
+        """
+        # Sorted, since the order of a set of names differs between processes.
+        for name in sorted(idle_machines):
             machine = self.cluster.machines.get(name)
             if machine is None or machine.tasks or machine.unknown_tasks or machine.state is not MachineState.UP:
                 continue
@@ -50,12 +56,12 @@
             rented_s = now - machine.rented_at
             if (
                 idle_s > self.script.number("idle_keep_s")
-                and rented_s > constants.FIRST_PAID_S - PAID_BOUNDARY_MARGIN_S
+                and rented_s > constants.FIRST_PAID_S - MINIMUM_CHARGE_MARGIN_S
             ):
                 self.inventory.delete(machine, f"idle for {idle_s:.0f} s")
 
     def consolidate(self, name: str | None, now: float) -> None:
-        """Drain a thinly used machine by migrating its replicas, one machine at a time."""
+        """Start to drain a little used machine by migrating its replicas, one machine at a time."""
         machine = self.cluster.machines.get(name) if name else None
         if machine is None or not self.may_migrate(now):
             return
@@ -66,7 +72,7 @@
         machine.move(MachineEvent.DRAIN)
 
     def _migrate_replica(self, task: Task, now: float) -> None:
-        """Migrate replicas one after the other, so slowly that their downtime hardly counts."""
+        """Migrate a replica unless the last migration is too recent for the accepted share of downtime."""
         if not self.may_migrate(now):
             return
         replicas = sum(len(job.active) for job in self.cluster.jobs.values() if job.kind is Kind.SERVICE)
@@ -76,7 +82,7 @@
         self.cluster.request_stop(task, 0.0, now, "migrated")
 
     def drain(self, now: float) -> None:
-        """Stop tasks on draining machines, early enough to save their work before the machine is taken."""
+        """Stop tasks on draining machines, early enough to save their work before the machine is reclaimed."""
         for machine in self.cluster.machines.values():
             if machine.state is not MachineState.DRAINING:
                 continue
@@ -86,7 +92,7 @@
                     self._drain_task(task, remaining_s, now)
 
     def _drain_task(self, task: Task, remaining_s: float, now: float) -> None:
-        """Stop a task on a machine that is reclaimed in `remaining_s`, unless it may run on for now."""
+        """Stop a task on a machine that is reclaimed in `remaining_s`, unless it may keep running for now."""
         kind, reason = task.job.spec.kind, task.machine.drain_reason
         if reason == CONSOLIDATION:
             self._migrate_replica(task, now)
@@ -94,7 +100,7 @@
         if task.state is TaskState.COMMITTED and kind is not Kind.GANG:
             self.cluster.request_stop(task, 0.0, now, reason)
             return
-        if reason == RECLAIM_NOTICE and self._may_run_on(task, remaining_s, now):
+        if reason == RECLAIM_NOTICE and self._may_keep_running(task, remaining_s, now):
             return
         grace_s = task.job.grace_s
         if kind is Kind.GANG:
@@ -103,8 +109,8 @@
         else:
             self.cluster.request_stop(task, grace_s, now, reason)
 
-    def _may_run_on(self, task: Task, remaining_s: float, now: float) -> bool:
-        """Is there time left before the machine is reclaimed: to save later, or to finish?"""
+    def _may_keep_running(self, task: Task, remaining_s: float, now: float) -> bool:
+        """Whether enough time remains before the machine is reclaimed to save later, or to finish."""
         spec = task.job.spec
         saves = spec.checkpoint_s > 0
         if remaining_s <= (spec.save_s + SAVE_MARGIN_S if saves else STOP_MARGIN_S):
--- a/winglift/controller/failover.py
+++ b/winglift/controller/failover.py
@@ -1,7 +1,7 @@
-"""Failover hints, which a leader passes to its successor in the intent log: drains, refusals, stops, reservations.
+"""Failover hints that a leader passes to its successor in the intent log: drains, refusals, stops, reservations.
 
-A hint is no promise: what did not fit into the intent log, or has changed since it was written, starts from the
-beginning. Times in the record are times of day (s); a time further ahead than its limit allows is cut to that limit.
+Hints are not guaranteed: an operation whose hint did not fit into the intent log, or is outdated, starts anew. Times in
+the record are times of day (s). A time further in the future than its limit allows is cut to that limit.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class FailoverHints:
-    """Writes the failover hints for a successor, and applies those of the previous leader."""
+    """Writes the failover hints for the successor, and applies those of the previous leader."""
 
     def __init__(
         self, cluster: ClusterState, inventory: Inventory, drainer: Drainer, gang_reservations: GangReservations
@@ -32,31 +32,31 @@
         self.inventory = inventory
         self.drainer = drainer
         self.gang_reservations = gang_reservations
-        # Machines that the previous leader was draining and that are not known here yet, with the reason.
-        self._draining: dict[str, str] = {}
+        # Drain reasons of machines that the previous leader was draining and that this one does not know yet.
+        self._inherited_drains: dict[str, str] = {}
 
-    # -- for the successor ---------------------------------------------------------------------
+    # -- hints for the successor ---------------------------------------------------------------
 
-    def add_hints(self, record: IntentRecord, now: float, today: float) -> None:
-        """Fill the hints into the record, at most `FAILOVER_HINTS_MAX` of each kind.
+    def add_hints(self, record: IntentRecord, now: float, wall: float) -> None:
+        """Add the hints to the record, at most `FAILOVER_HINTS_MAX` of each kind.
 
-        `now` is monotonic time and `today` the time of day, both in seconds.
+        `now` is monotonic time and `wall` the time of day, both in seconds.
         """
         limit = constants.FAILOVER_HINTS_MAX
-        # A reclaim notice is repeated in the machine's next report.
+        # Drains after a reclaim notice are left out: the machine's next report repeats the notice.
         draining = [
             (machine.name, machine.drain_reason)
             for machine in self.cluster.machines.values()
             if machine.state is MachineState.DRAINING and machine.drain_reason != RECLAIM_NOTICE
         ]
-        record.draining = dict([*draining, *self._draining.items()][:limit])
+        record.draining = dict([*draining, *self._inherited_drains.items()][:limit])
         record.capacity_refusals = [
-            (*key, round(today + until - now, 1))
+            (*key, round(wall + until - now, 1))
             for key, until in self.inventory.capacity_refusals.items()
             if until > now
         ][:limit]
         record.next_migration_at = (
-            round(today + self.drainer.next_migration_at - now, 1) if self.drainer.next_migration_at > now else 0.0
+            round(wall + self.drainer.next_migration_at - now, 1) if self.drainer.next_migration_at > now else 0.0
         )
         stopping = [
             (job.ref, task.attempt)
@@ -67,7 +67,7 @@
         ]
         record.stopping_gangs = dict(list(dict(stopping).items())[:limit])
         record.reserved_for_gangs = {
-            ref: (round(today + reservation.since - now, 1), pack_names(reservation.machines))
+            ref: (round(wall + reservation.since - now, 1), pack_names(reservation.machines))
             for ref, reservation in list(self.gang_reservations.by_job.items())[:limit]
         }
         record.failed_on = {
@@ -78,37 +78,35 @@
         while len(record.failed_on) > limit:
             record.failed_on.popitem()
 
-    # -- from the previous leader --------------------------------------------------------------
+    # -- hints from the previous leader --------------------------------------------------------
 
-    def apply_hints(self, record: IntentRecord, now: float, today: float) -> None:
-        """Continue what the previous leader had begun. Records are loaded; nothing has been decided yet.
+    def apply_hints(self, record: IntentRecord, now: float, wall: float) -> None:
+        """Resume the operations of the previous leader, after the records are loaded and before any decision.
 
-        `now` is monotonic time and `today` the time of day, both in seconds.
+        `now` is monotonic time and `wall` the time of day, both in seconds.
         """
         cluster, inventory = self.cluster, self.inventory
-        self._draining = dict(record.draining)
+        self._inherited_drains = dict(record.draining)
         self.resume_draining()
-        for mtype, zone, spot, until in record.capacity_refusals:
-            remaining_s = min(until - today, constants.NO_CAPACITY_PAUSE_S)
+        for machine_type, zone, spot, until in record.capacity_refusals:
+            remaining_s = min(until - wall, constants.NO_CAPACITY_PAUSE_S)
             if remaining_s > 0:
-                inventory.capacity_refusals[mtype, zone, spot] = now + remaining_s
-        if record.next_migration_at > today:
-            self.drainer.next_migration_at = now + min(
-                record.next_migration_at - today, constants.MIGRATION_PAUSE_MAX_S
-            )
+                inventory.capacity_refusals[machine_type, zone, spot] = now + remaining_s
+        if record.next_migration_at > wall:
+            self.drainer.next_migration_at = now + min(record.next_migration_at - wall, constants.MIGRATION_PAUSE_MAX_S)
         for ref, attempt in record.stopping_gangs.items():
             job = cluster.jobs.get(ref)
-            # An attempt placed after the record was written is not the one that was being stopped.
+            # The hint does not apply to an attempt placed after it was written.
             if job is not None and job.is_open and any(task.attempt == attempt for task in job.active.values()):
-                # Some members have received the stop command. The others receive it with their next report, so that
-                # the gang ends in order and is not left with half of its members.
+                # Some members may have received the stop command. The others receive it with their next report, so
+                # that the gang is not left with half of its members.
                 log.info("gang stop resumed: job=%s term=%d", ref, cluster.term)
                 cluster.request_stop_of_all(job, now, "stop begun in an earlier term", job.grace_s)
         for ref, (since, names) in record.reserved_for_gangs.items():
             try:
-                self.gang_reservations.by_job[ref] = GangReservation(unpack_names(names), now - max(0.0, today - since))
+                self.gang_reservations.by_job[ref] = GangReservation(unpack_names(names), now - max(0.0, wall - since))
             except InvalidRecord as err:
-                # A hint is no promise: an invalid one must not prevent the leader from taking up its duties.
+                # An invalid hint must not prevent the leader from acquiring its duties.
                 log.error("gang reservation invalid: job=%s error=%s", ref, err)
         for ref, machines in record.failed_on.items():
             job = cluster.jobs.get(ref)
@@ -117,8 +115,8 @@
 
     def resume_draining(self) -> None:
         """Resume the drains of the previous leader, each once its machine is known here."""
-        for name in [name for name in self._draining if name in self.cluster.machines]:
-            machine, reason = self.cluster.machines[name], self._draining.pop(name)
+        for name in [name for name in self._inherited_drains if name in self.cluster.machines]:
+            machine, reason = self.cluster.machines[name], self._inherited_drains.pop(name)
             if machine.state in (MachineState.UP, MachineState.INHERITED, MachineState.BOOTING):
                 machine.drain_reason = reason
                 machine.move(MachineEvent.DRAIN)
--- a/winglift/controller/fleet_reporter.py
+++ b/winglift/controller/fleet_reporter.py
@@ -1,4 +1,4 @@
-"""The fleet summary: what the leader regularly sends to the other nodes, so that a successor need not begin blind."""
+"""The fleet summary, which the leader sends to the other nodes so that a successor knows the state of the machines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FleetReporter:
-    """Sends the fleet summary to the peers each `FLEET_INTERVAL_S`, and saves the image caches when that is due."""
+    """Sends the fleet summary to the peers every `FLEET_INTERVAL_S`, and saves the image caches when due."""
 
     def __init__(
         self,
@@ -27,12 +27,16 @@
         self._next_report_at = 0.0
 
     def report_if_due(self, now: float) -> None:
-        """Send the summary if the last one is `FLEET_INTERVAL_S` old at `now` (monotonic, s)."""
+        """Send the summary if the last one was sent `FLEET_INTERVAL_S` before `now` (monotonic, s)."""
         if now < self._next_report_at:
             return
         self._next_report_at = now + constants.FLEET_INTERVAL_S
-        images = {machine.name: dict(machine.images) for machine in self.cluster.machines.values() if machine.images}
-        silent = {machine.name: now - last_contact(machine) for machine in self.failure_detector.silent_machines(now)}
-        self.peers.announce_fleet(peer_messages.Fleet(images, silent))
+        images_by_machine = {
+            machine.name: dict(machine.images) for machine in self.cluster.machines.values() if machine.images
+        }
+        silent_s_by_machine = {
+            machine.name: now - last_contact(machine) for machine in self.failure_detector.silent_machines(now)
+        }
+        self.peers.announce_fleet(peer_messages.Fleet(images_by_machine, silent_s_by_machine))
         if self.image_cache_snapshots.due(now):
-            self.image_cache_snapshots.save(images, now)
+            self.image_cache_snapshots.save(images_by_machine, now)
--- a/winglift/controller/gang_reservations.py
+++ b/winglift/controller/gang_reservations.py
@@ -1,4 +1,4 @@
-"""Machines reserved for gangs that wait until enough capacity is free."""
+"""Reservations of machines for gangs that wait until enough capacity is free."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
         self.by_job: dict[str, GangReservation] = {}
 
     def reserve(self, machines_by_job: dict[str, list[str]], now: float) -> None:
-        """Record the machines reserved for each gang. A renewed reservation keeps its start, so that it ends."""
+        """Record the machines reserved for each gang. A renewed reservation keeps its start, so that it expires."""
         for ref, names in machines_by_job.items():
             earlier = self.by_job.get(ref)
             self.by_job[ref] = GangReservation(names, earlier.since if earlier is not None else now)
 
     def reserved_machines(self, now: float) -> dict[str, str]:
-        """The job that each reserved machine is reserved for; drops reservations that no longer apply."""
+        """The job for which each machine is reserved, by machine; drops reservations that no longer apply."""
         job_by_machine: dict[str, str] = {}
         for ref, reservation in list(self.by_job.items()):
             job = self.cluster.jobs.get(ref)
@@ -48,8 +48,9 @@
 
 
 def gang_may_rent(waited_s: float, boot_s: float) -> bool:
-    """May a gang that has waited for `waited_s` rent machines now?
+    """Whether a gang that has waited for `waited_s` may rent machines now.
 
-    A gang that fits no zone would otherwise rent machines, see them returned idle and rent them again for ever.
+    Without this limit, machines for a gang that fits no zone would be rented, deleted as idle and rented again for
+    ever.
     """
     return waited_s < constants.GANG_RENT_BOOTS * boot_s or waited_s % constants.GANG_RENT_RETRY_S < boot_s
--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -80,9 +80,10 @@
         self._tasks = SupervisedTasks()
         self._resignation: asyncio.Future[None] | None = None
         self._pacer = CyclePacer()
-        self._replicas_wait = False  # for free capacity, by the last plan: each cycle may find some
-        self._last_plan = 0.0
-        self._next_pass = math.inf  # when the cycle's next pass is due at the latest
+        # Whether replicas wait for free capacity according to the last plan: each cycle may find some.
+        self._replicas_waiting = False
+        self._last_planned_at = 0.0  # monotonic time (s)
+        self._next_cycle_due_at = math.inf  # monotonic time (s) by which the next cycle is due
         self._build_duties(cloud)
         self._build_worker_contacts()
         self._build_planning()
@@ -90,7 +91,7 @@
         self._inherit_fleet_summary()
 
     def _build_duties(self, cloud: CloudClient) -> None:
-        """Components that write to the state store and to the cloud, each under its duty's fence."""
+        """Create the components that write to the state service and the cloud, each fenced by its duty."""
         state, limits, fence = self.state, self.settings.settings.state, self.duties.fence
         lag_s = self.settings.settings.cloud.list_lag_s
         self.intent_log = IntentLog(state, limits, fence, lag_s, self._add_failover_hints)
@@ -102,12 +103,12 @@
         self.garbage_collector.sweepers.append(ImageCacheSweeper(state, self.cluster))
 
     def _build_worker_contacts(self) -> None:
-        """Components that call workers directly, besides the answers to their reports."""
+        """Create the components that send requests to workers, in addition to the answers to their reports."""
         self.task_stopper = TaskStopper(self.cluster, self.leadership, self.may_only_enforce_cancellations)
         self.prober = Prober(self.cluster, self.leadership)
 
     def _build_planning(self) -> None:
-        """Components that build the policy's snapshot and carry out its plan."""
+        """Create the components that build the policy's snapshot and carry out its plan."""
         cluster, inventory, script = self.cluster, self.inventory, self.script
         self.snapshot_builder = SnapshotBuilder(self.settings, cluster, inventory, script, self._may_rent)
         reservations = self.snapshot_builder.gang_reservations
@@ -116,7 +117,7 @@
         self.failover_hints = FailoverHints(cluster, inventory, self.drainer, reservations)
 
     def _build_observers(self) -> None:
-        """Components that watch workers and job records, and send the fleet summary to other nodes."""
+        """Create the components that watch workers and job records, and send the fleet summary to other nodes."""
         settings = self.settings
         self.failure_detector = FailureDetector(
             self.cluster,
@@ -131,7 +132,7 @@
         self.cluster.on_urgent = self._pacer.wake_urgently
 
     def _inherit_fleet_summary(self) -> None:
-        """Take cached images and silent machines from the previous leader's last fleet summary."""
+        """Initialize cached images and silent machines from the previous leader's last fleet summary."""
         fleet, fleet_at = self.peers.fleet, self.peers.fleet_at
         self.cluster.inherited_images = dict(fleet.images)
         self.cluster.silent_since = {name: fleet_at - silent_s for name, silent_s in fleet.silent.items()}
@@ -140,7 +141,7 @@
         self.failover_hints.add_hints(record, monotonic_time(), wall_time())
 
     def start(self) -> None:
-        """Start the leader's tasks; nothing is decided before job records and intent log are loaded."""
+        """Start the leader's tasks. No decision is made before the job records and the intent log are loaded."""
         self._tasks.start(
             (
                 self._load_image_caches,
@@ -154,7 +155,7 @@
         )
 
     def stop(self) -> None:
-        """Cancel all tasks of this term. A successor finds unfinished operations in job records and intent log."""
+        """Cancel all tasks of this term. The successor reads unfinished operations from job records and intent log."""
         self._tasks.cancel()
         self.duties.sync_with_lease()
         self.duties.relinquish()
@@ -165,7 +166,7 @@
         self.image_cache_snapshots.stop()
 
     async def _load_image_caches(self) -> None:
-        """Load the image caches from the state store if no fleet summary was received: all nodes had ended."""
+        """Load the image caches from the state service if there is no fleet summary, since all nodes had ended."""
         if not self.cluster.inherited_images:
             self.cluster.inherited_images = await self.image_cache_snapshots.load()
             log.debug("image caches loaded: machines=%d", len(self.cluster.inherited_images))
@@ -174,11 +175,11 @@
 
     @property
     def loaded(self) -> bool:
-        """Are job records and intent log loaded? Before that nothing is decided and nothing commanded."""
+        """Whether job records and intent log are loaded. Before that nothing is decided and no command is sent."""
         return self.duties[DutyName.PLACEMENT].state is not DutyState.ACQUIRING
 
     async def _fail_over(self) -> None:
-        """Continue what the previous leader had begun. Intent log and job records are read concurrently."""
+        """Resume the operations of the previous leader. Intent log and job records are read concurrently."""
         await self.intent_log.load()
         while not self.record_watcher.loaded:
             await asyncio.sleep(constants.FAILOVER_POLL_S)
@@ -200,13 +201,13 @@
         self._pacer.wake()
 
     def may_use_cloud(self) -> bool:
-        """May this term change something in the cloud now? Checked last before each such call, after every wait."""
+        """Whether this term may change the cloud now; checked right before each such call, after all waits."""
         return self.duties.may_act(DutyName.PLACEMENT, monotonic_time())
 
     def _may_rent(self) -> bool:
-        """May machines be rented: are all earlier rentals known, and has any machine reported?
+        """Whether machines may be rented: all earlier rentals are known, and some machine has reported.
 
-        The intent log names the rentals that are too new for the inventory's lagging list; the list names the others.
+        The intent log holds the rentals that are too recent for the cloud's lagging list; the list holds the others.
         """
         return (
             self.duties.may_act(DutyName.CLOUD_OPERATIONS, monotonic_time())
@@ -218,22 +219,22 @@
         self.record_watcher.apply_record(ref, version, record, monotonic_time())
 
     def handles_cancellation(self, ref: str) -> bool:
-        """Does this leader know that the job is cancelled, and may it act?"""
+        """Whether this leader knows that the job is cancelled and may enforce it."""
         if not self.loaded or not (self.leadership.entitled(monotonic_time()) or self.may_only_enforce_cancellations()):
             return False
         job = self.cluster.jobs.get(ref)
         return job is None or job.state is JobState.CANCELLED
 
     def has_cleared_job(self, ref: str) -> bool:
-        """Has this leader proof that all tasks of a cancelled job have stopped?"""
+        """Whether this leader has proof that all tasks of a cancelled job have stopped."""
         job = self.cluster.jobs.get(ref)
         return self.handles_cancellation(ref) and (job is None or not job.active)
 
     def on_machines_deleted_elsewhere(self, names: list[str]) -> None:
-        """Another node has deleted these machines, for tasks of cancelled jobs.
+        """Handle the deletion of machines by another node, for tasks of cancelled jobs.
 
-        They are free capacity no more. That everything on them is gone, this leader proves by a response of its own
-        from the cloud (invariant 2).
+        They no longer count as free capacity. This leader deletes them too, because its assignments there end only with
+        proof that the tasks have stopped (invariant 2): its own response from the cloud.
         """
         for name in names:
             machine = self.cluster.machines.get(name)
@@ -241,9 +242,9 @@
                 self.inventory.delete(machine, "another node has deleted it for a cancelled task")
 
     def on_report(self, report: worker_messages.Report) -> list[worker_messages.Command] | None:
-        """Commands for a worker; none while this node may not command, although the answer still renews its lease.
+        """Return the commands for a worker, or None if the reporting machine has been deleted.
 
-        Returns None if the reporting machine has been deleted.
+        There are none while this node may not send commands; the answer still renews the worker's lease.
         """
         now = monotonic_time()
         if not self.loaded:
@@ -262,7 +263,7 @@
         return commands + due if entitled else due
 
     def has_pending_starts(self, name: str) -> bool:
-        """Are there starts that the answer to the machine's next report should carry?"""
+        """Whether the answer to the machine's next report is to carry starts."""
         machine = self.cluster.machines.get(name)
         return machine is not None and any(
             task.state in (TaskState.COMMITTED, TaskState.PROPOSED) for task in machine.tasks.values()
@@ -274,32 +275,35 @@
         """Run planning cycles until another node is found to lead."""
         while True:
             await self._pacer.wait_for_work()
-            pause = rest = constants.CYCLE_S
+            pause = long_pause = constants.CYCLE_S
             self.election.check_lease()
             self.duties.sync_with_lease()
             if self.batcher.fence_lost or self.intent_log.fence_lost or self.cluster.superseded:
                 self.election.step_down("another node holds the leader key")
                 return
-            began = monotonic_time()
-            if self._may_decide(began) and self.loaded:
-                self._run_cycle(began)
-                took = monotonic_time() - began
-                pause = pause_s(took)
-                rest = pause if self._replicas_wait else rest_s(took)
-                if took > SLOW_CYCLE_S:
-                    log.debug("planning cycle slow: duration_ms=%.0f", took * 1000)
+            started_at = monotonic_time()
+            if self._may_decide(started_at) and self.loaded:
+                self._run_cycle(started_at)
+                duration_s = monotonic_time() - started_at
+                pause = pause_s(duration_s)
+                long_pause = pause if self._replicas_waiting else rest_s(duration_s)
+                if duration_s > SLOW_CYCLE_S:
+                    log.debug("planning cycle slow: duration_ms=%.0f", duration_s * 1000)
             elif self.loaded and self.may_only_enforce_cancellations():
-                self._enforce_cancellations(began)
-            self._next_pass += monotonic_time() - began + rest
-            await self._pacer.rest(pause, rest)
+                self._enforce_cancellations(started_at)
+            self._next_cycle_due_at += monotonic_time() - started_at + long_pause
+            await self._pacer.wait_between_cycles(pause, long_pause)
 
     def _may_decide(self, now: float) -> bool:
-        """Is this node entitled to decide? Records since when without a break; a pause of the process is a break."""
-        if not self.leadership.entitled(now) or now > self._next_pass + constants.NODE_PAUSE_S:
-            # Reports wait unread in the sockets when a paused process resumes: that none was received does not show
-            # that the workers were silent.
+        """Whether this node may decide; tracks since when it has done so without interruption.
+
+        A pause of the process counts as an interruption.
+        """
+        if not self.leadership.entitled(now) or now > self._next_cycle_due_at + constants.NODE_PAUSE_S:
+            # When a paused process resumes, reports are still unread in its sockets. Their absence does not show that
+            # the workers were silent.
             self.failure_detector.entitled_since = None
-        self._next_pass = now + constants.IDLE_CYCLE_S
+        self._next_cycle_due_at = now + constants.IDLE_CYCLE_S
         if not self.leadership.entitled(now):
             return False
         if self.failure_detector.entitled_since is None:
@@ -307,10 +311,12 @@
         return True
 
     def may_only_enforce_cancellations(self) -> bool:
-        """In an outage of the state store for all nodes, nobody can succeed this leader, and `cancel_s` runs on.
+        """Whether this leader, whose lease is in doubt, may still enforce cancellations.
 
-        It may still enforce committed cancellations, which hold whoever leads: stop their tasks, and delete machines
-        that cannot be reached. If it is wrong about the outage, that costs a machine and violates no invariant.
+        It may in an outage of the state service for all nodes: no other node can become leader, and the deadline
+        `cancel_s` still applies. Committed cancellations are valid under any leader, so this one may stop their tasks
+        and delete machines that cannot be reached. If it is wrong about the outage, that costs a machine and violates
+        no invariant.
         """
         return (
             self.leadership.role is Role.DOUBTFUL
@@ -324,17 +330,17 @@
             self.inventory.delete(machine, reason)
 
     def _run_cycle(self, now: float) -> None:
-        """One pass: plan if something has changed or none was made for `IDLE_CYCLE_S`; commit; report to the peers."""
+        """Plan if something has changed or the last plan is `IDLE_CYCLE_S` old; commit; send the fleet summary."""
         cluster = self.cluster
-        idle = now - self._last_plan >= constants.IDLE_CYCLE_S
-        if cluster.changed or idle:
+        plan_due = now - self._last_planned_at >= constants.IDLE_CYCLE_S
+        if cluster.changed or plan_due:
             cluster.changed = False
             self.failover_hints.resume_draining()
             self._check_jobs(now)
             self._check_machines(now)
-            # Reserves, returns and moves can wait a second; only waiting tasks are planned for at every change.
-            if idle or any(job.has_waiting_tasks for job in cluster.jobs.values()):
-                self._last_plan = now
+            # Waiting tasks are planned at every change. Warm pools, deletions and migrations may wait for a second.
+            if plan_due or any(job.has_waiting_tasks for job in cluster.jobs.values()):
+                self._last_planned_at = now
                 unreachable = self.failure_detector.unreachable_zones | self.failure_detector.unheard_zones
                 snapshot = self.snapshot_builder.build(
                     now, self.drainer.may_migrate(now), unreachable, self.failure_detector.zones_with_controllers
@@ -345,7 +351,7 @@
         self.fleet_reporter.report_if_due(now)
 
     def _check_jobs(self, now: float) -> None:
-        """Forget jobs that have ended and are recorded; repeat the stops of cancelled ones."""
+        """Remove ended jobs whose records are written, and repeat the stops of cancelled jobs."""
         for job in list(self.cluster.jobs.values()):
             if (
                 not job.is_open
@@ -357,7 +363,7 @@
                 self.cluster.forget_job(job)
             elif job.state is JobState.CANCELLED:
                 for task in job.active.values():
-                    # A lost stop command is repeated: within `cancel_s` all tasks of the job must be gone.
+                    # A stop command may have been lost, and all tasks of the job must end within `cancel_s`.
                     if task.state in PRESENT and now - task.stop_sent_at > constants.STOP_REPEAT_S:
                         task.stop_sent_at = now
                         task.mark_stopping(0.0)
@@ -368,11 +374,11 @@
         verdicts = self.failure_detector.evaluate(now, wall_time(), hears_anyone, self.peers.all_fresh(now))
         if verdicts.isolated:
             self.duties.relinquish()
-            # Not cancelled by `stop`: the resignation itself ends this term. The reference protects the task from
-            # garbage collection.
+            # Kept apart from `_tasks`: `stop`, which the resignation itself triggers, must not cancel it. The reference
+            # protects the task from Python's garbage collection.
             self._resignation = asyncio.ensure_future(self.election.resign("hears neither workers nor other nodes"))
-        for mtype, zone in verdicts.failing_pools:
-            log.info("machine pool failing: type=%s zone=%s, renting elsewhere", mtype, zone)
+        for machine_type, zone in verdicts.failing_pools:
+            log.info("machine pool failing: type=%s zone=%s, renting elsewhere", machine_type, zone)
         for machine, reason in verdicts.to_delete:
             self.inventory.delete(machine, reason)
         for machine in verdicts.to_retry:
@@ -384,10 +390,10 @@
     def _apply(self, plan: policy_snapshot.Plan, now: float) -> None:
         self.plan_executor.apply(plan, now)
         cluster = self.cluster
-        self._replicas_wait = any(
+        self._replicas_waiting = any(
             job.kind is Kind.SERVICE for ref in plan.waiting if (job := cluster.jobs.get(ref)) is not None
         )
         for rental in merge_rentals(plan.rentals):
             self.inventory.rent(rental)
-        self.drainer.return_idle(plan.idle_machines, now)
+        self.drainer.delete_idle_machines(plan.idle_machines, now)
         self.drainer.consolidate(plan.drain, now)
--- a/winglift/controller/machine_inspection.py
+++ b/winglift/controller/machine_inspection.py
@@ -1,4 +1,4 @@
-"""What runs on one machine, as the policy sees it: preemptible tasks and movable replicas."""
+"""The preemptible tasks and movable replicas of one machine, for the policy's snapshot."""
 
 from __future__ import annotations
 
@@ -13,20 +13,23 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineInspection:
-    """The preemptible tasks and movable replicas of a machine whose usage was `load` at `at` (monotonic, s)."""
+    """The preemptible tasks and movable replicas of a machine at `inspected_at` (monotonic, s).
 
-    load: MachineUsage
-    at: float
+    It is valid while the machine's usage is `machine_usage`.
+    """
+
+    machine_usage: MachineUsage
+    inspected_at: float
     victims: list[policy_snapshot.Victim]
     movable_replicas: list[policy_snapshot.MovableReplica]
 
 
 def inspect_tasks(
-    machine: Machine, within: set[str], now: float
+    machine: Machine, jobs_within_guarantee: set[str], now: float
 ) -> tuple[list[policy_snapshot.Victim], list[policy_snapshot.MovableReplica]]:
     """The tasks on a machine that may be preempted, and its replicas that could be migrated.
 
-    `within` are the jobs that their teams' guarantees cover; `now` is monotonic time (s).
+    `jobs_within_guarantee` are the jobs that their teams' guarantees cover; `now` is monotonic time (s).
     """
     victims: list[policy_snapshot.Victim] = []
     replicas: list[policy_snapshot.MovableReplica] = []
@@ -44,7 +47,7 @@
                     spec.memory_gb,
                     lost_work_s(task, now),
                     spec.tasks if spec.kind is Kind.GANG else 1,
-                    task.job.ref in within,
+                    task.job.ref in jobs_within_guarantee,
                     loses_gang_start(task, now),
                 )
             )
--- a/winglift/controller/pacing.py
+++ b/winglift/controller/pacing.py
@@ -1,4 +1,4 @@
-"""How often the leader runs a planning cycle, by how long its cycles take."""
+"""The pauses between planning cycles, derived from the duration of the cycles."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class CyclePacer:
-    """Lets the planning cycle wait for work, and rest after a pass so that users and workers get their turn."""
+    """Lets the planning loop wait for work, and pauses it after each cycle so that users and workers are served."""
 
     def __init__(self) -> None:
         self._wake = asyncio.Event()
         self._urgent = asyncio.Event()
 
     def wake(self) -> None:
-        """Something has changed: the next pass begins after the rest."""
+        """Report a change: the next cycle begins after the long pause."""
         self._wake.set()
 
     def wake_urgently(self) -> None:
-        """Work is due at once: it also ends the rest early, but never the pause."""
+        """Report work that is due at once: it ends the long pause early, but never the minimum pause."""
         self._urgent.set()
 
     async def wait_for_work(self) -> None:
@@ -33,27 +33,29 @@
         self._wake.clear()
         self._urgent.clear()
 
-    async def rest(self, pause: float, rest: float) -> None:
-        """Wait for `pause` seconds in any case, and for `rest` seconds unless urgent work comes."""
+    async def wait_between_cycles(self, pause: float, long_pause: float) -> None:
+        """Wait for at least `pause` seconds, and for `long_pause` seconds unless urgent work arrives."""
         await asyncio.sleep(pause)
-        if rest > pause:
+        if long_pause > pause:
             try:
-                async with asyncio.timeout(rest - pause):
+                async with asyncio.timeout(long_pause - pause):
                     await self._urgent.wait()
             except TimeoutError:
                 pass
 
 
-def pause_s(took: float) -> float:
-    """How long after a cycle of `took` seconds the next one may begin, in seconds.
+def pause_s(duration_s: float) -> float:
+    """The minimum pause, in seconds, after a cycle of `duration_s`.
 
-    At 970 machines a cycle each 0.15 s was half of the leader's work, and most of them found little to do.
+    At 970 machines, a cycle every 0.15 s was half of the leader's work, and most cycles found little to do.
     """
     return max(
-        constants.CYCLE_S, min(took * constants.CYCLE_PAUSE, constants.CYCLE_PAUSE_S), took * constants.CYCLE_PAUSE_MIN
+        constants.CYCLE_S,
+        min(duration_s * constants.CYCLE_PAUSE, constants.CYCLE_PAUSE_S),
+        duration_s * constants.CYCLE_PAUSE_MIN,
     )
 
 
-def rest_s(took: float) -> float:
-    """How long after a cycle of `took` seconds the next one begins, in seconds, unless urgent work comes."""
-    return max(pause_s(took), min(took * constants.CYCLE_REST, constants.CYCLE_REST_S))
+def rest_s(duration_s: float) -> float:
+    """The pause, in seconds, after a cycle of `duration_s` unless urgent work arrives."""
+    return max(pause_s(duration_s), min(duration_s * constants.CYCLE_REST, constants.CYCLE_REST_S))
--- a/winglift/controller/record_watcher.py
+++ b/winglift/controller/record_watcher.py
@@ -1,4 +1,4 @@
-"""Watches the job records for the leader: lists all of them once, then follows every change."""
+"""Watches the job records for the leader: lists all records once, then follows their changes."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 class RecordWatcher:
     """Applies job records to the cluster state, in the order of their versions.
 
-    `on_new` is called once for each open job, with its time of submission (time of day, s) and its specification;
-    `wake` is called when something has changed.
+    `on_new_job` is called once for each open job, with its submission time (time of day, s) and its specification;
+    `wake` is called after each change.
     """
 
     def __init__(
         self,
         state: StateClient,
         cluster: ClusterState,
-        on_new: Callable[[float, Submission], None],
+        on_new_job: Callable[[float, Submission], None],
         wake: Callable[[], None],
     ) -> None:
         self.state = state
         self.cluster = cluster
-        self.loaded = False  # all records are known
-        self._on_new = on_new
+        self.loaded = False  # whether all records have been listed
+        self._on_new_job = on_new_job
         self._wake = wake
         self._revision = 0
         self._seen_refs: set[str] = set()
@@ -49,13 +49,13 @@
         """Load all records, then follow their changes. Nothing is placed before the cluster state is rebuilt."""
         while True:
             try:
-                sent = monotonic_time()
+                requested_at = monotonic_time()
                 items, revision = await self.state.list(records.JOB_PREFIX)
                 now = monotonic_time()
                 for item in items:
-                    self._take_record(item.key, item.version, item.value, now)
+                    self._decode_and_apply(item.key, item.version, item.value, now)
                 self._revision = revision
-                self.cluster.records_current_at = sent
+                self.cluster.records_current_at = requested_at
                 if not self.loaded:
                     log.info(
                         "records loaded: term=%d records=%d open_jobs=%d machines=%d",
@@ -75,7 +75,7 @@
 
     async def _watch(self) -> None:
         while True:
-            sent = monotonic_time()
+            requested_at = monotonic_time()
             try:
                 changes = await self.state.changes(records.JOB_PREFIX, self._revision)
             except (RequestRejected, OutcomeUnknown) as err:
@@ -85,14 +85,14 @@
             now = monotonic_time()
             for event in changes.events:
                 if event.put is not None:
-                    self._take_record(event.put, event.version, event.value, now)
+                    self._decode_and_apply(event.put, event.version, event.value, now)
             self._revision = max(self._revision, changes.revision)
-            self.cluster.records_current_at = sent
+            self.cluster.records_current_at = requested_at
             if changes.events:
                 self._wake()
             await asyncio.sleep(constants.WATCH_PAUSE_S)
 
-    def _take_record(self, key: str, version: int, value: msgspec.Raw, now: float) -> None:
+    def _decode_and_apply(self, key: str, version: int, value: msgspec.Raw, now: float) -> None:
         ref = key[len(records.JOB_PREFIX) :]
         try:
             self.apply_record(ref, version, records.decode(value), now)
@@ -103,9 +103,9 @@
         """Apply a record that this node or another has committed; `now` is monotonic time (s)."""
         job = self.cluster.jobs.get(ref)
         if job is not None and job.write_in_flight and record.state != JobState.CANCELLED.value:
-            # Perhaps this node's own write, whose response is outstanding: it is compared once that has come. A
-            # cancellation is not deferred: it is final whatever becomes of the write, which an outage may leave
-            # without a response.
+            # This may be the node's own write, whose response is outstanding: the record is compared once the response
+            # has arrived. A cancellation is not deferred: it is final whatever the outcome of the write, and an outage
+            # may leave the write without a response.
             if version > job.version and (job.deferred_change is None or version > job.deferred_change[0]):
                 job.deferred_change = (version, records.encode(record))
                 if job.known_open_before_write is None:
@@ -113,6 +113,6 @@
             return
         if job is None and ref not in self._seen_refs and record.state == JobState.OPEN.value:
             self._seen_refs.add(ref)
-            self._on_new(record.submitted_at, record.spec)
+            self._on_new_job(record.submitted_at, record.spec)
         apply_record(self.cluster, ref, version, record, now)
         self._wake()
--- a/winglift/controller/snapshot_builder.py
+++ b/winglift/controller/snapshot_builder.py
@@ -1,4 +1,4 @@
-"""Builds the snapshot that the policy plans from: free capacities, demands, quotas and warm pool targets."""
+"""Builds the snapshot for the policy: free capacities, demands, quotas and warm pool targets."""
 
 from __future__ import annotations
 
@@ -40,7 +40,8 @@
         self.inventory = inventory
         self.script = script
         self.may_rent = may_rent
-        self.preferred_machines: dict[str, frozenset[str]] = {}  # job: machines of the steps before it in a workflow
+        # Machines of the previous steps in a workflow, by job.
+        self.preferred_machines: dict[str, frozenset[str]] = {}
         self.recent_arrivals: deque[Arrival] = deque(maxlen=constants.RECENT_ARRIVALS)
         self.gang_reservations = GangReservations(cluster)
         self.free_capacities = FreeCapacities(settings, cluster, inventory)
@@ -49,7 +50,7 @@
         self._start_objectives = start_objectives(objectives)
 
     def add_arrival(self, submitted_at: float, spec: Submission) -> None:
-        """Count a new job towards the size of the warm pools; `submitted_at` is a time of day (s)."""
+        """Record the arrival of a job for the size of the warm pools; `submitted_at` is a time of day (s)."""
         self.recent_arrivals.append((submitted_at, spec))
 
     def build(
@@ -59,14 +60,14 @@
         unreachable_zones: frozenset[str] = frozenset(),
         zones_with_controllers: frozenset[str] | None = None,
     ) -> policy_snapshot.Snapshot:
-        """The free capacity, waiting work and quotas at `now` (monotonic time, s)."""
+        """The snapshot at `now` (monotonic, s)."""
         cluster, wall = self.cluster, wall_time()
         open_jobs = (job for job in cluster.jobs.values() if job.state is JobState.OPEN)
         jobs = sorted(open_jobs, key=attrgetter("submitted_at"))
-        within = self._jobs_within_guarantee(jobs)
-        capacities = self.free_capacities.build(now, within, zones_with_controllers)
+        jobs_within_guarantee = self._jobs_within_guarantee(jobs)
+        capacities = self.free_capacities.build(now, jobs_within_guarantee, zones_with_controllers)
         self._mark_reservations(capacities, now)
-        demands, stalled_replicas = self._waiting_work(jobs, within, now, wall)
+        demands, stalled_replicas = self._waiting_work(jobs, jobs_within_guarantee, now, wall)
         stopping_cpus, stopping_gpus = self._stopping_by_team()
         return policy_snapshot.Snapshot(
             now=wall,
@@ -92,20 +93,20 @@
         )
 
     def _jobs_within_guarantee(self, jobs: list[Job]) -> set[str]:
-        """The jobs, of these in order of submission, that their teams' guarantees cover along with the earlier ones."""
-        within: set[str] = set()
-        sums: dict[str, tuple[float, float]] = {}
-        covers = self.cluster.quota.within_guarantee
+        """The jobs that their teams' guarantees cover, counted in order of submission."""
+        jobs_within_guarantee: set[str] = set()
+        resources_by_team: dict[str, tuple[float, float]] = {}
+        is_within_guarantee = self.cluster.quota.within_guarantee
         for job in jobs:
             spec, tasks = job.spec, job.unfinished_count()
-            before = sums.get(spec.team, (0.0, 0.0))
-            after = sums[spec.team] = before[0] + spec.cpus * tasks, before[1] + spec.gpus * tasks
-            if covers(spec.team, *after):
-                within.add(job.ref)
-        return within
+            before = resources_by_team.get(spec.team, (0.0, 0.0))
+            after = resources_by_team[spec.team] = before[0] + spec.cpus * tasks, before[1] + spec.gpus * tasks
+            if is_within_guarantee(spec.team, *after):
+                jobs_within_guarantee.add(job.ref)
+        return jobs_within_guarantee
 
     def _mark_reservations(self, capacities: list[policy_snapshot.FreeCapacity], now: float) -> None:
-        """Reserve the capacities of machines that are being freed for a gang."""
+        """Mark the capacities of machines that are reserved for a gang."""
         job_by_machine = self.gang_reservations.reserved_machines(now)
         if not job_by_machine:
             return
@@ -115,17 +116,17 @@
                 capacity.reserve(ref, self.cluster.jobs[ref].spec.priority.rank)
 
     def _waiting_work(
-        self, jobs: list[Job], within: set[str], now: float, wall: float
+        self, jobs: list[Job], jobs_within_guarantee: set[str], now: float, wall: float
     ) -> tuple[list[policy_snapshot.Demand], list[policy_snapshot.StalledReplica]]:
-        """The demands of these jobs, and their replicas that wait too long for their images."""
+        """The demands of these jobs, and their replicas whose image fetch has stalled."""
         demands: list[policy_snapshot.Demand] = []
         stalled: list[policy_snapshot.StalledReplica] = []
         for job in jobs:
             if job.write_in_flight:
                 continue
-            # Most jobs run and wait for nothing: their tasks are not examined.
+            # Most jobs have all their tasks assigned: they have no demand, and their tasks are not examined.
             if len(job.active) + len(job.done) < job.spec.tasks:
-                demand = self.demands.demand(job, now, wall, job.ref in within)
+                demand = self.demands.demand(job, now, wall, job.ref in jobs_within_guarantee)
                 if demand is not None:
                     demands.append(demand)
             else:
@@ -135,7 +136,7 @@
         return demands, stalled
 
     def _stopping_by_team(self) -> tuple[dict[str, float], dict[str, float]]:
-        """The CPUs and the GPUs that tasks still hold while they stop, by team."""
+        """The CPUs and the GPUs held by tasks that are being stopped, by team."""
         stopping_cpus: dict[str, float] = {}
         stopping_gpus: dict[str, float] = {}
         for machine in self.cluster.machines.values():
--- a/winglift/controller/stop_cost.py
+++ b/winglift/controller/stop_cost.py
@@ -1,4 +1,4 @@
-"""What stopping a task would cost: its unsaved work, and for a gang its start."""
+"""The cost of stopping a task: its unsaved work, and for a gang its start."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 def lost_work_s(task: Task, now: float) -> float:
-    """The work, in seconds, that stopping a task costs: what it has not saved, and the time to its next start.
+    """The cost, in seconds, of stopping a task: its unsaved work, and the time until its next start.
 
-    When tasks that were still fetching counted as costing nothing, 40 gangs were stopped 970 times in the first 100 s.
+    The fetch time so far counts too. When tasks that were still fetching cost nothing, 40 gangs were stopped 970 times
+    in the first 100 s.
     """
     if task.running_since is None:
         return constants.RESTART_S + now - task.state_since
@@ -19,7 +20,10 @@
 
 
 def loses_gang_start(task: Task, now: float) -> bool:
-    """Would a stop cost a gang its start? A start counts only if it lasts, and several tasks seldom fit again soon."""
+    """Whether a stop would cost a gang its start.
+
+    A start counts only if it lasts, and a gang of several tasks seldom finds capacity again soon.
+    """
     if task.job.kind is not Kind.GANG:
         return False
     return (
--- a/winglift/controller/supervised_tasks.py
+++ b/winglift/controller/supervised_tasks.py
@@ -10,32 +10,32 @@
 
 RESTART_DELAY_S = 0.5
 
-Job = Callable[[], Awaitable[None]]
+TaskFunction = Callable[[], Awaitable[None]]
 
 
 class SupervisedTasks:
-    """Owns one task for each job, from `start` to `cancel`."""
+    """Runs one asyncio task for each function, from `start` to `cancel`."""
 
     def __init__(self) -> None:
         self._tasks: list[asyncio.Task[None]] = []
 
-    def start(self, jobs: Iterable[Job]) -> None:
-        """Start a task for each job, in the order given."""
-        self._tasks = [asyncio.ensure_future(self._run(job)) for job in jobs]
+    def start(self, functions: Iterable[TaskFunction]) -> None:
+        """Start a task for each function, in the order given."""
+        self._tasks = [asyncio.ensure_future(self._run(function)) for function in functions]
 
     def cancel(self) -> None:
         """Request the cancellation of all tasks."""
         for task in self._tasks:
             task.cancel()
 
-    async def _run(self, job: Job) -> None:
-        """The outermost frame of each task: an unexpected error in one pass must not end the leader's work."""
+    async def _run(self, function: TaskFunction) -> None:
+        """Run a function until it returns. An unexpected error is logged and the function is called again."""
         while True:
             try:
-                await job()
+                await function()
                 return
             except asyncio.CancelledError:
                 raise
             except Exception:
-                log.exception("leader task failed: task=%s", job.__name__)
+                log.exception("leader task failed: task=%s", function.__name__)
                 await asyncio.sleep(RESTART_DELAY_S)
--- a/winglift/controller/warm_pool_targets.py
+++ b/winglift/controller/warm_pool_targets.py
@@ -1,4 +1,4 @@
-"""Warm pools for job classes that must start sooner than a machine boots, sized by their recent arrivals."""
+"""Warm pools for job classes that must start before a new machine could be ready, sized by recent arrivals."""
 
 from __future__ import annotations
 
@@ -14,35 +14,41 @@
 from ..wire.cloud import MachineType
 from ..wire.users import Submission
 
-Arrival = tuple[float, Submission]  # time of day, and what was submitted
+Arrival = tuple[float, Submission]  # submission time (time of day, s) and submission
 
 
 def start_objectives(objectives: Iterable[Objective]) -> dict[str, float]:
-    """Job class: the shortest time, in seconds, in which its tasks should start."""
-    aims: dict[str, float] = {}
+    """The shortest start objective, in seconds, by job class."""
+    objectives_s: dict[str, float] = {}
     for objective in objectives:
         if objective.kind == "wait" and objective.within_s is not None:
-            aims[objective.job_class] = min(objective.within_s, aims.get(objective.job_class, math.inf))
-    return aims
+            objectives_s[objective.job_class] = min(objective.within_s, objectives_s.get(objective.job_class, math.inf))
+    return objectives_s
 
 
 def warm_pool_targets(
-    aims: dict[str, float], recent: Iterable[Arrival], types: dict[str, MachineType], script: Script, wall: float
+    objectives_s: dict[str, float],
+    recent_arrivals: Iterable[Arrival],
+    types: dict[str, MachineType],
+    script: Script,
+    wall: float,
 ) -> list[WarmPoolTarget]:
     """The warm pool of each class, by its arrivals within `WARM_POOL_WINDOW_S` before `wall` (time of day, s)."""
-    classes: dict[str, list[Arrival]] = {}
-    for when, spec in recent:
-        if spec.job_class in aims and wall - when < constants.WARM_POOL_WINDOW_S:
-            classes.setdefault(spec.job_class, []).append((when, spec))
+    arrivals_by_class: dict[str, list[Arrival]] = {}
+    for submitted_at, spec in recent_arrivals:
+        if spec.job_class in objectives_s and wall - submitted_at < constants.WARM_POOL_WINDOW_S:
+            arrivals_by_class.setdefault(spec.job_class, []).append((submitted_at, spec))
     deviations = script.number("reserve_deviations")
-    found: list[WarmPoolTarget] = []
-    for name, arrivals in classes.items():
-        latest = arrivals[-1][1]
-        # What is rented for a class takes the boot and the fetch of the type that serves it, not of another.
-        mtype = cost_model.cheapest_type(latest, types.values())
-        if mtype is None or aims[name] >= cost_model.ready_s(latest, mtype):
+    targets: list[WarmPoolTarget] = []
+    for job_class, arrivals in arrivals_by_class.items():
+        latest_spec = arrivals[-1][1]
+        # The time until a rented machine is ready depends on the machine type that serves this class.
+        machine_type = cost_model.cheapest_type(latest_spec, types.values())
+        if machine_type is None or objectives_s[job_class] >= cost_model.ready_s(latest_spec, machine_type):
             continue
-        proposed = warm_pool_size([(when, spec.tasks) for when, spec in arrivals], wall, mtype.boot_s, deviations)
+        proposed = warm_pool_size(
+            [(submitted_at, spec.tasks) for submitted_at, spec in arrivals], wall, machine_type.boot_s, deviations
+        )
         if proposed:
-            found.append(WarmPoolTarget(latest, int(script.ask("reserve", proposed, name, proposed))))
-    return found
+            targets.append(WarmPoolTarget(latest_spec, int(script.ask("reserve", proposed, job_class, proposed))))
+    return targets
--- a/winglift/node.py
+++ b/winglift/node.py
@@ -1,4 +1,4 @@
-"""One controller node: its servers and clients, and the leader's work while it leads."""
+"""One controller node: its servers and clients, and the leader's work while the node leads."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Extension(Protocol):
-    """A service that a node runs beside its jobs. It adds HTTP routes and follows the node's role."""
+    """An optional service of a node. It adds HTTP routes and is notified when the node gains or loses leadership."""
 
     def routes(self) -> list[tuple]:
         """The tornado routes to add to the node's application."""
@@ -42,11 +42,11 @@
         """Called when this node has become the leader."""
 
     def follow(self) -> None:
-        """Called when this node has ceased to lead: nothing may be written for that term any more."""
+        """Called when this node no longer leads; nothing may be written for that term any more."""
 
 
 class Node:
-    """A controller node: it answers users and workers, and runs the leader's work while it holds the lease."""
+    """A controller node: it serves users and workers, and does the leader's work while it holds the leader lease."""
 
     def __init__(self, settings: Settings, script: Script | None = None) -> None:
         params = settings.settings
@@ -57,18 +57,19 @@
         self.leader_term: LeaderTerm | None = None  # the leader's work, while this node leads
         self._server: Server | None = None
         self._extensions: list[Extension] = []
-        # Clients of the state service and the cloud, and the election.
+        # Clients of the state service and the cloud, and the leader election.
         self.state = StateClient(*parse_addr(settings.services.state, "services.state"), params.state, params.nodes)
         self.cloud = CloudClient(*parse_addr(settings.services.cloud, "services.cloud"), params.cloud, params.nodes)
         self.election = Election(self.state, settings.node, self._on_role_change)
         # The other nodes, and the enforcement of cancellations.
         self.peers = self._new_peer_connections()
         self.cancellation_enforcer = CancellationEnforcer(self)
-        # What the cloud client asks, last of all, before it sends a change (invariant 6).
+        # The cloud client calls these right before it sends a change, so that only an authorized node changes the
+        # cloud (invariant 6).
         self.cloud.may_change = self._may_change_cloud
         self.cloud.may_enforce_cancellations = self._may_enforce_cancellations
         self.cloud.may_delete_unfenced = self.cancellation_enforcer.may_delete
-        # What users and workers talk to.
+        # Services for users and workers.
         self.jobs = self._new_jobs()
         self.reports = ReportHandler(self)
         self._started_at = monotonic_time()
@@ -103,14 +104,15 @@
         return self.leader_term is not None and self.leader_term.may_only_enforce_cancellations()
 
     def extend(self, extension: Extension) -> None:
-        """Register an extension; to be called before `run`."""
+        """Register an extension. Call this before `run`."""
         self._extensions.append(extension)
 
-    # -- callbacks of the parts ----------------------------------------------------------------
+    # -- callbacks of the components -----------------------------------------------------------
 
     def _own_state(self) -> peer_messages.PeerState:
-        """What this node tells its peers about itself."""
-        # A leader in doubt still counts as one: from the reports that others forward it learns who is alive.
+        """The state that this node sends to its peers."""
+        # A leader whose lease is in doubt still counts as leader: the reports that other nodes forward to it show which
+        # machines are alive.
         leads = self.leader_term is not None and self.election.leadership.role in (Role.LEADER, Role.DOUBTFUL)
         return peer_messages.PeerState(self.known_term(), leads, self.state.health() is Health.GOOD, self.settings.node)
 
@@ -122,7 +124,7 @@
         return self.reports.answer_forwarded(body)
 
     def _on_peer_job_record(self, note: peer_messages.JobNote) -> int:
-        """Take a committed record from a peer: 200 if this node handles it as the leader, 202 if it only stored it."""
+        """Handle a committed record from a peer: 200 if handled as the leader, 202 if only stored."""
         try:
             record = records.decode(note.record)
             self._apply_to_leader_term(note.ref, note.version, record)
@@ -133,7 +135,7 @@
         return 200 if self.handles_cancellation(note.ref) else 202
 
     def _on_record_reported(self, ref: str, version: int, record: records.JobRecord) -> None:
-        """Called with each record reported to a user: a reported cancellation is enforced by this node."""
+        """Called with each record reported to a user; this node enforces a reported cancellation."""
         if self.cancellation_enforcer.add_record(ref, version, record):
             self._apply_to_leader_term(ref, version, record)
 
@@ -141,10 +143,10 @@
         if self.leader_term is not None and self.leader_term.loaded:
             self.leader_term.apply_record(ref, version, record)
 
-    # -- host of the CancellationEnforcer -------------------------------------------------------
+    # -- interface for the CancellationEnforcer -------------------------------------------------
 
     def leader_by_record(self) -> str:
-        """The leader's name according to the state service, or an empty text."""
+        """The leader's name according to the state service, or an empty string."""
         return self.election.known_leader
 
     def handles_cancellation(self, ref: str) -> bool:
@@ -156,7 +158,7 @@
         return self.leader_term is not None and self.leader_term.has_cleared_job(ref)
 
     def on_machines_deleted(self, machines: list[str]) -> None:
-        """Called after the CancellationEnforcer has deleted machines; the leader's work takes note."""
+        """Called after the CancellationEnforcer has deleted machines, to notify the leader's work."""
         if self.leader_term is not None:
             self.leader_term.on_machines_deleted_elsewhere(machines)
 
@@ -166,18 +168,18 @@
             self.election.step_down(f"{state.node} knows term {state.term}")
 
     def _on_peer_gone(self, node: str) -> None:
-        """Called when a peer refuses connections, so that its process seems to have ended.
+        """Called when a peer refuses connections, as it does after its process has ended.
 
-        If it led, its lease is expired early. But a packet filter between nodes refuses connections too: a node that
-        was partitioned from all others once expired a healthy leader's lease, led without hearing any worker, and
-        deleted 16 machines. So a node does this only while it is connected to another peer.
+        If the peer led, its lease is revoked before it expires, but only while this node is connected to another peer.
+        A packet filter between nodes refuses connections too: a node that was partitioned from all others once revoked
+        a healthy leader's lease, became leader without receiving any report, and deleted 16 machines.
         """
         peer = self.peers.by_node[node]
         if peer.last_state is not None and peer.last_state.leads and self.peers.connected(but=node):
             asyncio.ensure_future(self.election.expire_lease_of(node))
 
     def _on_record_committed(self, ref: str, version: int, record: records.JobRecord) -> None:
-        """Called after this node has committed a change of a job: the leader is notified at once."""
+        """Called after this node has committed a change of a job, to notify the leader at once."""
         if self.leader_term is not None:
             self._apply_to_leader_term(ref, version, record)
         elif record.state != JobState.CANCELLED.value or not record.assignments:
@@ -189,15 +191,15 @@
     def not_up(self) -> str | None:
         """The reason why this node can't serve requests, or None if it can.
 
-        In an outage that all nodes share it counts as up, since no other node serves better.
+        In an outage that affects all nodes it counts as available, since no other node could serve better.
         """
         now = monotonic_time()
         if not self.types and now - self._started_at < constants.STARTUP_GRACE_S:
             return "machine types are not known yet"
         if self.state.health() is Health.DOWN and self.peers.state_works_elsewhere(now):
             return "the state service refuses this node"
-        # A node that reaches neither the state service nor any peer may share an outage with all nodes, or be
-        # partitioned alone. Its workers show which: they find other nodes, or stay silent.
+        # A node that reaches neither the state service nor any peer is either in an outage of all nodes or alone in a
+        # partition. Its workers show which: in a partition they find other nodes, or their reports cease.
         silent_s = now - max(self._started_at, self.reports.last_report_at)
         if (
             self.settings.seeds
@@ -211,23 +213,23 @@
         return None
 
     def hears_others(self) -> bool:
-        """Whether the state service or any peer has answered this node lately."""
+        """Whether the state service or any peer has answered this node recently."""
         return self.state.health() is not Health.DOWN or self.peers.any_fresh(monotonic_time())
 
     def leader_elsewhere(self) -> str | None:
-        """The leader according to the state service if this node can't forward reports to it; None otherwise."""
+        """The leader's name according to the state service if this node can't forward reports to it; None otherwise."""
         if self.leader_term is not None or self.peers.leader(monotonic_time()) is not None:
             return None
         name = self.election.known_leader
         return name if name in self.peers.by_node and self.state.health() is Health.GOOD else None
 
     def crowded(self) -> bool:
-        """Whether so many connections are open that reports, peers and services might soon get no socket."""
+        """Whether open connections are near the socket limit: beyond it, reports, peers and services get no socket."""
         limit = self.settings.settings.machine_limits.sockets * constants.SOCKET_SHARE
         return self._server is not None and self._server.open > limit
 
     def _on_role_change(self) -> None:
-        """Called when the role has changed: start or stop the leader's work."""
+        """Start or stop the leader's work after a change of role."""
         if self.election.leadership.role is Role.LEADER:
             self.leader_term = LeaderTerm(
                 self.settings, self.state, self.cloud, self.election, self.types, self.peers, self.script
@@ -249,7 +251,7 @@
 
     # -- running -------------------------------------------------------------------------------
 
-    async def _keep_types(self) -> None:
+    async def _refresh_machine_types(self) -> None:
         while True:
             try:
                 offered = await self.cloud.types()
@@ -270,7 +272,7 @@
         self.types.update(offered)
 
     async def run(self) -> None:
-        """Listen for users, workers and peers and run until cancelled. Raises OSError if an address is in use."""
+        """Serve users, workers and peers until cancelled. Raises OSError if an address is in use."""
         extension_routes = [route for extension in self._extensions for route in extension.routes()]
         self._server = current_runtime().serve(
             ReportFastPath(application(self, extension_routes), self.reports.handle),
@@ -285,13 +287,13 @@
             self.settings.zone,
             self.settings.client_listen,
         )
-        # Objects built at start-up live for good: the garbage collector need not scan them again.
+        # Objects created at start-up are never freed, so the garbage collector need not scan them again.
         gc.collect()
         gc.freeze()
-        await asyncio.gather(self._keep_types(), self.election.run(), self.cancellation_enforcer.run())
+        await asyncio.gather(self._refresh_machine_types(), self.election.run(), self.cancellation_enforcer.run())
 
     def stop(self) -> None:
-        """Stop at once, as a kill would; for programs that embed a node, and for tests."""
+        """Stop immediately, as if the process were killed; for programs that embed a node, and for tests."""
         self._end_leading()
         if self._server is not None:
             self._server.stop()
