--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -1,4 +1,4 @@
-"""A leader's judgement of silence: whose fault it is, and what it does about it."""
+"""Tests of a leader's reaction to silence: of single machines, of zones, and of everything around it."""
 
 from __future__ import annotations
 
@@ -26,7 +26,10 @@
 
 
 def leader(hears_peers: bool, machines: list[tuple[str, str, float | None]]):
-    """A leader at time 1000 that knows machines by name, zone and when they were last heard."""
+    """Return a leader term at time 1000 that knows machines by name, zone and time of the last report.
+
+    Also returns the list of the machines that it deletes.
+    """
     deleted: list[str] = []
     peers = SimpleNamespace(
         fleet=peer_messages.Fleet({}, {}),
@@ -35,83 +38,83 @@
         any_fresh=lambda now: hears_peers,
         all_fresh=lambda now: hears_peers,
     )
-    made = LeaderTerm(settings(), None, None, FakeElection(), {"g4": TYPE}, peers, Script())  # type: ignore[arg-type]
-    made.inventory.delete = lambda machine, why: deleted.append(machine.name)  # type: ignore[method-assign]
-    for name, zone, heard in machines:
-        machine = made.cluster.register_machine(name, "g4", zone, False, 980.0, 20.0)
-        machine.last_heard = heard
-        machine.state = MachineState.UP if heard is not None else MachineState.INHERITED
-    return made, deleted
-
-
-def check(made):
-    async def pass_once() -> None:
-        made._check_machines(1000.0)
+    leader_term = LeaderTerm(settings(), None, None, FakeElection(), {"g4": TYPE}, peers, Script())  # type: ignore[arg-type]
+    leader_term.inventory.delete = lambda machine, why: deleted.append(machine.name)  # type: ignore[method-assign]
+    for name, zone, last_heard in machines:
+        machine = leader_term.cluster.register_machine(name, "g4", zone, False, 980.0, 20.0)
+        machine.last_heard = last_heard
+        machine.state = MachineState.UP if last_heard is not None else MachineState.INHERITED
+    return leader_term, deleted
+
+
+def check_machines(leader_term):
+    async def check_once() -> None:
+        leader_term._check_machines(1000.0)
         await asyncio.sleep(0)
 
-    asyncio.run(pass_once())
+    asyncio.run(check_once())
 
 
-def test_a_lone_silent_machine_is_deleted_after_one_lease():
-    made, deleted = leader(True, [("vm-1", "a", 985.0), ("vm-2", "a", 999.5), ("vm-3", "a", 999.5)])
-    check(made)
+def test_a_single_silent_machine_is_deleted_after_one_lease():
+    leader_term, deleted = leader(True, [("vm-1", "a", 985.0), ("vm-2", "a", 999.5), ("vm-3", "a", 999.5)])
+    check_machines(leader_term)
     assert deleted == ["vm-1"]
 
 
-def test_a_leader_that_hears_nobody_resigns_and_deletes_nothing():
-    """A node cut off from workers and nodes once led for 16 s and then deleted all 16 machines."""
-    made, deleted = leader(False, [(f"vm-{i}", "a", None) for i in range(6)])
-    check(made)
-    assert made.election.resigned and deleted == []
+def test_an_isolated_leader_resigns_and_deletes_nothing():
+    """A node partitioned from workers and nodes once led for 16 s and then deleted all 16 machines."""
+    leader_term, deleted = leader(False, [(f"vm-{i}", "a", None) for i in range(6)])
+    check_machines(leader_term)
+    assert leader_term.election.resigned and deleted == []
 
 
-def test_machines_silent_since_before_this_term_are_spared_while_most_of_the_zone_is():
-    made, deleted = leader(True, [(f"vm-{i}", "a", None) for i in range(6)] + [("vm-9", "b", 999.9)])
-    check(made)
+def test_inherited_silent_machines_are_kept_while_most_of_the_zone_is_silent():
+    leader_term, deleted = leader(True, [(f"vm-{i}", "a", None) for i in range(6)] + [("vm-9", "b", 999.9)])
+    check_machines(leader_term)
     assert deleted == []
 
 
-def test_the_end_of_a_partition_deletes_nothing():
-    made, deleted = leader(True, [(f"vm-{i}", "a", 985.0) for i in range(6)])
-    check(made)
+def test_no_machine_is_deleted_at_the_end_of_a_partition():
+    leader_term, deleted = leader(True, [(f"vm-{i}", "a", 985.0) for i in range(6)])
+    check_machines(leader_term)
     for name in ("vm-0", "vm-1", "vm-2", "vm-3", "vm-4"):
-        made.cluster.machines[name].last_heard = 999.9
-    check(made)
+        leader_term.cluster.machines[name].last_heard = 999.9
+    check_machines(leader_term)
     assert deleted == []
 
 
-def test_silence_during_an_outage_is_not_held_against_machines():
-    made, deleted = leader(True, [(f"vm-{i}", "a", 960.0) for i in range(6)] + [("vm-9", "b", 999.9)])
-    made.failure_detector.entitled_since = 999.0
-    check(made)
+def test_silence_before_the_leader_could_act_does_not_count():
+    leader_term, deleted = leader(True, [(f"vm-{i}", "a", 960.0) for i in range(6)] + [("vm-9", "b", 999.9)])
+    leader_term.failure_detector.entitled_since = 999.0
+    check_machines(leader_term)
     assert deleted == []
-    made.failure_detector.entitled_since = 900.0
-    made.cluster.machines["vm-0"].last_heard = 905.0
-    check(made)
+    leader_term.failure_detector.entitled_since = 900.0
+    leader_term.cluster.machines["vm-0"].last_heard = 905.0
+    check_machines(leader_term)
     assert deleted == ["vm-0"]
 
 
-def test_a_node_that_is_not_heard_may_be_renewing_a_machines_lease():
-    made, deleted = leader(False, [("vm-1", "a", 985.0), ("vm-2", "a", 999.5), ("vm-3", "a", 999.5)])
-    check(made)
+def test_a_silent_machine_is_kept_while_an_unreachable_node_may_renew_its_lease():
+    leader_term, deleted = leader(False, [("vm-1", "a", 985.0), ("vm-2", "a", 999.5), ("vm-3", "a", 999.5)])
+    check_machines(leader_term)
     assert deleted == []
 
 
-def test_a_machine_that_only_the_lagging_list_names_offers_no_capacity():
-    """A successor once counted on machines that its predecessor had deleted, and rented nothing meanwhile."""
-    made, _ = leader(True, [("vm-1", "a", None), ("vm-2", "a", 999.5)])
-    assert [capacity.name for capacity in made.snapshot_builder.build(983.0).capacities] == ["vm-1", "vm-2"]
-    assert [capacity.name for capacity in made.snapshot_builder.build(1000.0).capacities] == ["vm-2"]
+def test_a_machine_known_only_from_the_cloud_list_offers_capacity_for_a_limited_time():
+    """A successor once counted the capacity of machines that its predecessor had deleted, and rented nothing."""
+    leader_term, _ = leader(True, [("vm-1", "a", None), ("vm-2", "a", 999.5)])
+    assert [capacity.name for capacity in leader_term.snapshot_builder.build(983.0).capacities] == ["vm-1", "vm-2"]
+    assert [capacity.name for capacity in leader_term.snapshot_builder.build(1000.0).capacities] == ["vm-2"]
 
 
-def test_a_gang_that_never_fits_does_not_rent_for_ever():
+def test_a_gang_that_never_fits_rents_only_at_long_intervals():
     seconds = [t for t in range(0, 7200) if gang_may_rent(float(t), 45.0)]
     assert seconds[:226] == [*range(0, 225), 600]
     assert len(seconds) < 225 + 45 * 12
 
 
-def test_only_a_node_in_reach_of_another_ends_a_leaders_lease():
-    ended: list[str] = []
+def test_only_a_node_connected_to_a_peer_revokes_a_leaders_lease():
+    revoked: list[str] = []
 
     async def scenario(connected: bool) -> None:
         node = Node(settings())
@@ -119,30 +122,30 @@
         node.peers.connected = lambda but="": connected  # type: ignore[method-assign]
 
         async def expire_lease_of(name: str) -> None:
-            ended.append(name)
+            revoked.append(name)
 
         node.election.expire_lease_of = expire_lease_of  # type: ignore[method-assign]
         node._on_peer_gone("node-1")
         await asyncio.sleep(0)
 
     asyncio.run(scenario(False))
-    assert ended == []
+    assert revoked == []
     asyncio.run(scenario(True))
-    assert ended == ["node-1"]
+    assert revoked == ["node-1"]
 
 
-def test_a_new_leader_rents_in_no_zone_that_may_be_cut_off_until_it_has_heard_of_it():
-    """It has seen no silence yet, and with its machines out of reach a zone seems to be empty."""
+def test_a_new_leader_rents_in_no_zone_from_which_it_has_no_report():
+    """Guards against rentals in a partitioned zone: its machines don't report, so it seems to have no capacity."""
 
     def at(now: float, heard: dict[str, float | None]):
-        made, _ = leader(True, [(name, name[3], None) for name in ("vm-a1", "vm-a2", "vm-b1", "vm-b2")])
-        for machine in made.cluster.machines.values():
+        leader_term, _ = leader(True, [(name, name[3], None) for name in ("vm-a1", "vm-a2", "vm-b1", "vm-b2")])
+        for machine in leader_term.cluster.machines.values():
             machine.known_since = 1000.0
-        made.failure_detector.evaluate(1000.0, 1e9, True, True)
+        leader_term.failure_detector.evaluate(1000.0, 1e9, True, True)
         for name, when in heard.items():
-            made.cluster.machines[name].last_heard = when
-        made.failure_detector.evaluate(now, 1e9, True, True)
-        return made.failure_detector
+            leader_term.cluster.machines[name].last_heard = when
+        leader_term.failure_detector.evaluate(now, 1e9, True, True)
+        return leader_term.failure_detector
 
     assert at(1000.2, {}).nothing_heard_yet
     one = at(1000.2, {"vm-a1": 1000.1})
--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -376,7 +376,7 @@
             self.duties.relinquish()
             # Kept apart from `_tasks`: `stop`, which the resignation itself triggers, must not cancel it. The reference
             # protects the task from Python's garbage collection.
-            self._resignation = asyncio.ensure_future(self.election.resign("hears neither workers nor other nodes"))
+            self._resignation = asyncio.ensure_future(self.election.resign("no contact with workers or other nodes"))
         for machine_type, zone in verdicts.failing_pools:
             log.info("machine pool failing: type=%s zone=%s, renting elsewhere", machine_type, zone)
         for machine, reason in verdicts.to_delete:
