--- a/winglift/constants.py
+++ b/winglift/constants.py
@@ -273,7 +273,7 @@
 EXPRESSION_CONTEXTS = 8  # JavaScript contexts kept, one per library
 FLOW_CYCLE_S = 0.3  # s between two passes of the driver over its workflows
 FLOW_OPEN_JOBS = 100  # jobs of one workflow open at a time: a wide workflow leaves the budget to others
-FLOW_TASKS_PER_UPLOAD_MAX = 50  # tasks described in one upload, so that a task's worker fetches little else
+FLOW_PAGE = 50  # tasks described in one upload, so that a task's worker fetches little else
 FLOW_INLINE_BYTES = 1024  # bytes; smaller outputs are stored in the step's record itself
 # Machines on which a command must fail until its step has failed: one failure may be the machine's.
 FLOW_FAILED_ON = 2  # machines
