--- a/winglift/controller/free_capacities.py
+++ b/winglift/controller/free_capacities.py
@@ -47,7 +47,10 @@
     def build(
         self, now: float, jobs_within_guarantee: set[str], zones_with_controllers: frozenset[str] | None
     ) -> list[policy_snapshot.FreeCapacity]:
-        """All free capacities at `now` (monotonic, s); `jobs_within_guarantee`: covered by guarantees."""
+        """All free capacities at `now` (monotonic, s).
+
+        `jobs_within_guarantee`: references of the jobs that their teams' guarantees cover.
+        """
         if zones_with_controllers != self._zones_with_controllers:
             self._capacity_cache.clear()
         self._jobs_within_guarantee, self._now = jobs_within_guarantee, now
