--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -32,8 +32,8 @@
     """
     deleted: list[str] = []
     peers = SimpleNamespace(
-        fleet=peer_messages.Fleet({}, {}),
-        fleet_at=0.0,
+        fleet=peer_messages.FleetSummary({}, {}),
+        fleet_updated_at=0.0,
         by_node={"node-1": None},
         any_fresh=lambda now: hears_peers,
         all_fresh=lambda now: hears_peers,
@@ -85,10 +85,10 @@
 
 def test_silence_before_the_leader_could_act_does_not_count():
     leader_term, deleted = leader(True, [(f"vm-{i}", "a", 960.0) for i in range(6)] + [("vm-9", "b", 999.9)])
-    leader_term.failure_detector.entitled_since = 999.0
+    leader_term.failure_detector.leading_since = 999.0
     check_machines(leader_term)
     assert deleted == []
-    leader_term.failure_detector.entitled_since = 900.0
+    leader_term.failure_detector.leading_since = 900.0
     leader_term.cluster.machines["vm-0"].last_heard = 905.0
     check_machines(leader_term)
     assert deleted == ["vm-0"]
@@ -119,12 +119,12 @@
     async def scenario(connected: bool) -> None:
         node = Node(settings())
         node.peers.by_node["node-1"] = SimpleNamespace(last_state=SimpleNamespace(leads=True, term=1))  # type: ignore[assignment]
-        node.peers.connected = lambda but="": connected  # type: ignore[method-assign]
+        node.peers.connected = lambda except_node="": connected  # type: ignore[method-assign]
 
-        async def expire_lease_of(name: str) -> None:
+        async def revoke_lease_of(name: str) -> None:
             revoked.append(name)
 
-        node.election.expire_lease_of = expire_lease_of  # type: ignore[method-assign]
+        node.election.revoke_lease_of = revoke_lease_of  # type: ignore[method-assign]
         node._on_peer_gone("node-1")
         await asyncio.sleep(0)
 
--- a/tests/test_successors.py
+++ b/tests/test_successors.py
@@ -35,8 +35,8 @@
 SKEW_S = 2.0
 EPOCH = 1.7e9  # time of day (s) at true time 0, when the cancellation is confirmed to the user
 DELETION_S = 3.0  # upper bound of the duration of a deletion that succeeds at the first attempt
-DELETE_AGE_S = WORKERS.cancel_s * constants.CANCEL_DELETE_SHARE
-REPORT_WAIT_S = WORKERS.report_s * constants.CANCEL_HEAR_REPORTS
+DELETE_AGE_S = WORKERS.cancel_s * constants.CANCELLATION_DELETE_SHARE
+REPORT_WAIT_S = WORKERS.report_s * constants.CANCELLATION_REPORT_WAIT_RATIO
 
 
 def cancelled_record(cancelled_at: float | None) -> records.JobRecord:
@@ -59,7 +59,7 @@
         self.failure_detector = FailureDetector(self.cluster, WORKERS, SKEW_S, "ab")
         self.started_at = started_at
         apply_record(self.cluster, "wk-1", 11, records.decode(value), self.monotonic_time(started_at))
-        self.failure_detector.entitled_since = self.monotonic_time(started_at)
+        self.failure_detector.leading_since = self.monotonic_time(started_at)
 
     def monotonic_time(self, true_time: float) -> float:
         return self.monotonic_offset + true_time
@@ -175,9 +175,9 @@
 def test_a_leader_in_doubt_only_enforces_cancellations_in_an_outage_of_all_nodes(elsewhere):
     leader_term, deleted = leader(True, [("vm-1", "a", 985.0), ("vm-2", "a", 999.5)])
     leader_term.state = SimpleNamespace(health=lambda: Health.DOWN)
-    leader_term.peers.state_works_elsewhere = lambda now: elsewhere
+    leader_term.peers.any_peer_reaches_state_service = lambda now: elsewhere
     leader_term.duties.mark_ready(DutyName.PLACEMENT)
-    leader_term.leadership.role, leader_term.leadership.valid_until = Role.DOUBTFUL, 0.0
+    leader_term.leadership.role, leader_term.leadership.valid_until = Role.LEASE_IN_DOUBT, 0.0
     leader_term.term = leader_term.cluster.term = 3
     stop_commands: list[str] = []
     leader_term.cluster.on_stop = lambda task: None
@@ -274,7 +274,7 @@
         _limits = settings().settings.state
         has_spare_writes = StateClient.has_spare_writes
 
-        def writes_free(self):
+        def available_writes(self):
             return free
 
         async def commit(self, txn):
@@ -349,5 +349,5 @@
     later.failover_hints.apply_hints(hints, 50.0, 1.7e9 - 5000.0)
     assert set(later.snapshot_builder.gang_reservations.by_job) == {"wk-3"}
     assert not any(task.stopping for task in later.cluster.jobs["wk-1"].active.values())
-    assert later.inventory.capacity_refusals["g4", "a", True] <= 50.0 + constants.NO_CAPACITY_PAUSE_S
+    assert later.inventory.capacity_refusals["g4", "a", True] <= 50.0 + constants.CAPACITY_REFUSAL_BACKOFF_S
     assert later.drainer.next_migration_at <= 50.0 + constants.MIGRATION_PAUSE_MAX_S
--- a/winglift/controller/demands.py
+++ b/winglift/controller/demands.py
@@ -92,8 +92,8 @@
 
     def _run_s(self, job: Job) -> float:
         """The estimated run time of one task in seconds, padded, and corrected by the operators' script."""
-        run_s = self.cluster.estimate_s(job) * constants.ESTIMATE_PAD
-        return self.script.ask("estimate_s", run_s, job.spec.job_class, job.spec.estimate_s, run_s)
+        run_s = self.cluster.estimate_s(job) * constants.ESTIMATE_PADDING_RATIO
+        return self.script.call_hook("estimate_s", run_s, job.spec.job_class, job.spec.estimate_s, run_s)
 
     def stalled_replicas(self, job: Job, now: float) -> list[policy_snapshot.StalledReplica]:
         """Replicas that have been fetching their image for some time and are expected to need much longer."""
@@ -105,8 +105,8 @@
             waited_s = now - task.state_since
             concurrent_fetches = max(1, machine.usage().pending_fetches)
             fetch_s = job.spec.image_gb / max(machine.type.fetch_gb_per_s, 1e-3) * concurrent_fetches
-            remaining_s = fetch_s - waited_s if waited_s < fetch_s else waited_s * constants.FETCH_LATE_SHARE
-            if waited_s > constants.FETCH_WORTH_S and remaining_s > constants.RESTART_MIN_FETCH_S:
+            remaining_s = fetch_s - waited_s if waited_s < fetch_s else waited_s * constants.LATE_FETCH_REMAINING_RATIO
+            if waited_s > constants.LONG_FETCH_MIN_S and remaining_s > constants.RESTART_MIN_FETCH_S:
                 zones = zone_counts(job)
                 zones[machine.zone] -= 1
                 stalled.append(
@@ -138,11 +138,11 @@
 
 
 def _avoided_machines(job: Job, unplaced_s: float) -> frozenset[str]:
-    """Machines on which the job failed and which it avoids for `AVOID_S`.
+    """Machines on which the job failed and which it avoids for `MACHINE_AVOIDANCE_S`.
 
     After that it may run on them again if there are no others, so that free capacity does not stay unused.
     """
-    return frozenset(job.failed_on) if unplaced_s < constants.AVOID_S else frozenset()
+    return frozenset(job.failed_on) if unplaced_s < constants.MACHINE_AVOIDANCE_S else frozenset()
 
 
 def preemption_delay_s(objectives: Iterable[Objective]) -> float:
@@ -160,6 +160,6 @@
     delays_s: dict[str, float] = {}
     for objective in objectives:
         if objective.kind == "wait" and objective.within_s is not None:
-            delay_s = objective.within_s * constants.DISPLACE_AFTER_SHARE
+            delay_s = objective.within_s * constants.DISPLACEMENT_DELAY_SHARE
             delays_s[objective.job_class] = min(delay_s, delays_s.get(objective.job_class, math.inf))
     return delays_s
--- a/winglift/controller/draining.py
+++ b/winglift/controller/draining.py
@@ -56,7 +56,7 @@
             rented_s = now - machine.rented_at
             if (
                 idle_s > self.script.number("idle_keep_s")
-                and rented_s > constants.FIRST_PAID_S - MINIMUM_CHARGE_MARGIN_S
+                and rented_s > constants.MINIMUM_CHARGE_S - MINIMUM_CHARGE_MARGIN_S
             ):
                 self.inventory.delete(machine, f"idle for {idle_s:.0f} s")
 
--- a/winglift/controller/failover.py
+++ b/winglift/controller/failover.py
@@ -89,7 +89,7 @@
         self._inherited_drains = dict(record.draining)
         self.resume_draining()
         for machine_type, zone, spot, until in record.capacity_refusals:
-            remaining_s = min(until - wall, constants.NO_CAPACITY_PAUSE_S)
+            remaining_s = min(until - wall, constants.CAPACITY_REFUSAL_BACKOFF_S)
             if remaining_s > 0:
                 inventory.capacity_refusals[machine_type, zone, spot] = now + remaining_s
         if record.next_migration_at > wall:
--- a/winglift/controller/fleet_reporter.py
+++ b/winglift/controller/fleet_reporter.py
@@ -11,7 +11,7 @@
 
 
 class FleetReporter:
-    """Sends the fleet summary to the peers every `FLEET_INTERVAL_S`, and saves the image caches when due."""
+    """Sends the fleet summary to the peers every `FLEET_SUMMARY_INTERVAL_S`, and saves the image caches when due."""
 
     def __init__(
         self,
@@ -27,16 +27,16 @@
         self._next_report_at = 0.0
 
     def report_if_due(self, now: float) -> None:
-        """Send the summary if the last one was sent `FLEET_INTERVAL_S` before `now` (monotonic, s)."""
+        """Send the summary if the last one was sent `FLEET_SUMMARY_INTERVAL_S` before `now` (monotonic, s)."""
         if now < self._next_report_at:
             return
-        self._next_report_at = now + constants.FLEET_INTERVAL_S
+        self._next_report_at = now + constants.FLEET_SUMMARY_INTERVAL_S
         images_by_machine = {
             machine.name: dict(machine.images) for machine in self.cluster.machines.values() if machine.images
         }
         silent_s_by_machine = {
             machine.name: now - last_contact(machine) for machine in self.failure_detector.silent_machines(now)
         }
-        self.peers.announce_fleet(peer_messages.Fleet(images_by_machine, silent_s_by_machine))
+        self.peers.announce_fleet(peer_messages.FleetSummary(images_by_machine, silent_s_by_machine))
         if self.image_cache_snapshots.due(now):
             self.image_cache_snapshots.save(images_by_machine, now)
--- a/winglift/controller/free_capacities.py
+++ b/winglift/controller/free_capacities.py
@@ -66,7 +66,10 @@
 
     def _drop_deleted_machines(self) -> None:
         machines = self.cluster.machines
-        if len(self._inspections) + len(self._capacity_cache) <= 4 * len(machines) + constants.INSPECTIONS_SPARE:
+        if (
+            len(self._inspections) + len(self._capacity_cache)
+            <= 4 * len(machines) + constants.INSPECTION_CACHE_STALE_MAX
+        ):
             return
         self._inspections = {name: inspection for name, inspection in self._inspections.items() if name in machines}
         self._capacity_cache = {name: cached for name, cached in self._capacity_cache.items() if name in machines}
@@ -88,13 +91,13 @@
                         machine_type.gpus,
                         machine_type.memory_gb,
                         ready_in=max(1.0, machine_type.boot_s - (now - rental.intended_at)),
-                        without_controller=self._without_controller(request.zone),
+                        zone_lacks_controller=self._zone_lacks_controller(request.zone),
                     )
                     for index in range(request.count)
                 ]
         return capacities
 
-    def _without_controller(self, zone: str) -> bool:
+    def _zone_lacks_controller(self, zone: str) -> bool:
         return self._zones_with_controllers is not None and zone not in self._zones_with_controllers
 
     def _capacity(self, machine: Machine, now: float) -> policy_snapshot.FreeCapacity | None:
@@ -104,7 +107,7 @@
         if machine.state is MachineState.UP:
             return self._running_capacity(machine, machine_type, now)
         inherited = machine.state is MachineState.INHERITED
-        if inherited and now - machine.known_since > constants.INHERITED_TRUST_S:
+        if inherited and now - machine.known_since > constants.INHERITED_MACHINE_TIMEOUT_S:
             # A running machine would have reported by now. The cloud's list lags and still names deleted machines.
             return None
         if inherited and machine.tasks:
@@ -129,13 +132,13 @@
             machine_type.memory_gb - usage.memory_gb,
             images=usage.images,
             ready_in=self.settings.settings.workers.report_s,
-            without_controller=self._without_controller(machine.zone),
+            zone_lacks_controller=self._zone_lacks_controller(machine.zone),
         )
 
     def _booting_capacity(
         self, machine: Machine, machine_type: MachineType, now: float
     ) -> policy_snapshot.FreeCapacity | None:
-        if not self.cluster.boot_tracker.is_expected(machine, self.types.values(), now):
+        if not self.cluster.boot_tracker.is_boot_expected(machine, self.types.values(), now):
             return None
         return policy_snapshot.FreeCapacity(
             machine.name,
@@ -146,7 +149,7 @@
             machine_type.gpus,
             machine_type.memory_gb,
             ready_in=max(1.0, machine_type.boot_s - (now - machine.rented_at)),
-            without_controller=self._without_controller(machine.zone),
+            zone_lacks_controller=self._zone_lacks_controller(machine.zone),
         )
 
     def _running_capacity(
@@ -178,7 +181,7 @@
             0.0,
             0.0,
             inspector=lambda: self._inspect(machine),
-            without_controller=self._without_controller(machine.zone),
+            zone_lacks_controller=self._zone_lacks_controller(machine.zone),
         )
 
     def _inspect(self, machine: Machine) -> tuple[list[policy_snapshot.Victim], list[policy_snapshot.MovableReplica]]:
@@ -188,7 +191,7 @@
         if (
             inspection is None
             or inspection.machine_usage is not usage
-            or now - inspection.inspected_at > constants.INSPECTION_KEPT_S
+            or now - inspection.inspected_at > constants.INSPECTION_CACHE_TTL_S
         ):
             inspection = MachineInspection(usage, now, *inspect_tasks(machine, jobs_within_guarantee, now))
             self._inspections[machine.name] = inspection
--- a/winglift/controller/gang_reservations.py
+++ b/winglift/controller/gang_reservations.py
@@ -53,4 +53,7 @@
     Without this limit, machines for a gang that fits no zone would be rented, deleted as idle and rented again for
     ever.
     """
-    return waited_s < constants.GANG_RENT_BOOTS * boot_s or waited_s % constants.GANG_RENT_RETRY_S < boot_s
+    return (
+        waited_s < constants.GANG_RENTAL_TIMEOUT_BOOTS * boot_s
+        or waited_s % constants.GANG_RENTAL_RETRY_INTERVAL_S < boot_s
+    )
--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -40,7 +40,7 @@
 from .draining import Drainer
 from .failover import FailoverHints
 from .fleet_reporter import FleetReporter
-from .pacing import CyclePacer, pause_s, rest_s
+from .pacing import CyclePacer, long_pause_s, pause_s
 from .plan_executor import PlanExecutor
 from .record_watcher import RecordWatcher
 from .snapshot_builder import SnapshotBuilder
@@ -96,7 +96,7 @@
         lag_s = self.settings.settings.cloud.list_lag_s
         self.intent_log = IntentLog(state, limits, fence, lag_s, self._add_failover_hints)
         self.batcher = Batcher(state, limits, self.cluster, fence)
-        self.cluster.on_ending = self.batcher.flush_soon
+        self.cluster.on_all_tasks_done = self.batcher.schedule_flush
         self.inventory = Inventory(cloud, self.cluster, lag_s, self.intent_log)
         self.image_cache_snapshots = ImageCacheSnapshots(state, limits, self.leadership, fence)
         self.garbage_collector = GarbageCollector(state, limits, self.duties)
@@ -133,9 +133,9 @@
 
     def _inherit_fleet_summary(self) -> None:
         """Initialize cached images and silent machines from the previous leader's last fleet summary."""
-        fleet, fleet_at = self.peers.fleet, self.peers.fleet_at
+        fleet, fleet_updated_at = self.peers.fleet, self.peers.fleet_updated_at
         self.cluster.inherited_images = dict(fleet.images)
-        self.cluster.silent_since = {name: fleet_at - silent_s for name, silent_s in fleet.silent.items()}
+        self.cluster.silent_since = {name: fleet_updated_at - silent_s for name, silent_s in fleet.silent.items()}
 
     def _add_failover_hints(self, record: IntentRecord) -> None:
         self.failover_hints.add_hints(record, monotonic_time(), wall_time())
@@ -182,7 +182,7 @@
         """Resume the operations of the previous leader. Intent log and job records are read concurrently."""
         await self.intent_log.load()
         while not self.record_watcher.loaded:
-            await asyncio.sleep(constants.FAILOVER_POLL_S)
+            await asyncio.sleep(constants.FAILOVER_POLL_INTERVAL_S)
         now = monotonic_time()
         self.failover_hints.apply_hints(self.intent_log.inherited, now, wall_time())
         self.duties.mark_ready(DutyName.PLACEMENT)
@@ -195,7 +195,7 @@
             len(self.inventory.pending_rentals),
         )
         while not self.inventory.has_listed:
-            await asyncio.sleep(constants.FAILOVER_POLL_S)
+            await asyncio.sleep(constants.FAILOVER_POLL_INTERVAL_S)
         self.duties.mark_ready(DutyName.CLOUD_OPERATIONS)
         self.duties.mark_ready(DutyName.GARBAGE_COLLECTION)
         self._pacer.wake()
@@ -220,12 +220,14 @@
 
     def handles_cancellation(self, ref: str) -> bool:
         """Whether this leader knows that the job is cancelled and may enforce it."""
-        if not self.loaded or not (self.leadership.entitled(monotonic_time()) or self.may_only_enforce_cancellations()):
+        if not self.loaded or not (
+            self.leadership.has_valid_lease(monotonic_time()) or self.may_only_enforce_cancellations()
+        ):
             return False
         job = self.cluster.jobs.get(ref)
         return job is None or job.state is JobState.CANCELLED
 
-    def has_cleared_job(self, ref: str) -> bool:
+    def has_stopped_all_tasks(self, ref: str) -> bool:
         """Whether this leader has proof that all tasks of a cancelled job have stopped."""
         job = self.cluster.jobs.get(ref)
         return self.handles_cancellation(ref) and (job is None or not job.active)
@@ -254,13 +256,13 @@
             return None if report.machine in self.cluster.deleted_machines else []
         if self.cluster.changed:
             self._pacer.wake()
-        entitled = self.leadership.entitled(now)
-        if not entitled and not self.may_only_enforce_cancellations():
+        has_valid_lease = self.leadership.has_valid_lease(now)
+        if not has_valid_lease and not self.may_only_enforce_cancellations():
             return []
         if report.token != self.term:
-            return commands if entitled else []
-        due = due_commands(self.cluster.machines[report.machine], report, now, cancelled_only=not entitled)
-        return commands + due if entitled else due
+            return commands if has_valid_lease else []
+        due = due_commands(self.cluster.machines[report.machine], report, now, cancelled_only=not has_valid_lease)
+        return commands + due if has_valid_lease else due
 
     def has_pending_starts(self, name: str) -> bool:
         """Whether the answer to the machine's next report is to carry starts."""
@@ -275,7 +277,7 @@
         """Run planning cycles until another node is found to lead."""
         while True:
             await self._pacer.wait_for_work()
-            pause = long_pause = constants.CYCLE_S
+            pause = long_pause = constants.CYCLE_INTERVAL_S
             self.election.check_lease()
             self.duties.sync_with_lease()
             if self.batcher.fence_lost or self.intent_log.fence_lost or self.cluster.superseded:
@@ -286,7 +288,7 @@
                 self._run_cycle(started_at)
                 duration_s = monotonic_time() - started_at
                 pause = pause_s(duration_s)
-                long_pause = pause if self._replicas_waiting else rest_s(duration_s)
+                long_pause = pause if self._replicas_waiting else long_pause_s(duration_s)
                 if duration_s > SLOW_CYCLE_S:
                     log.debug("planning cycle slow: duration_ms=%.0f", duration_s * 1000)
             elif self.loaded and self.may_only_enforce_cancellations():
@@ -299,15 +301,15 @@
 
         A pause of the process counts as an interruption.
         """
-        if not self.leadership.entitled(now) or now > self._next_cycle_due_at + constants.NODE_PAUSE_S:
+        if not self.leadership.has_valid_lease(now) or now > self._next_cycle_due_at + constants.PROCESS_PAUSE_MIN_S:
             # When a paused process resumes, reports are still unread in its sockets. Their absence does not show that
             # the workers were silent.
-            self.failure_detector.entitled_since = None
-        self._next_cycle_due_at = now + constants.IDLE_CYCLE_S
-        if not self.leadership.entitled(now):
+            self.failure_detector.leading_since = None
+        self._next_cycle_due_at = now + constants.IDLE_CYCLE_INTERVAL_S
+        if not self.leadership.has_valid_lease(now):
             return False
-        if self.failure_detector.entitled_since is None:
-            self.failure_detector.entitled_since = now
+        if self.failure_detector.leading_since is None:
+            self.failure_detector.leading_since = now
         return True
 
     def may_only_enforce_cancellations(self) -> bool:
@@ -319,9 +321,9 @@
         no invariant.
         """
         return (
-            self.leadership.role is Role.DOUBTFUL
+            self.leadership.role is Role.LEASE_IN_DOUBT
             and self.state.health() is Health.DOWN
-            and not self.peers.state_works_elsewhere(monotonic_time())
+            and not self.peers.any_peer_reaches_state_service(monotonic_time())
         )
 
     def _enforce_cancellations(self, now: float) -> None:
@@ -330,9 +332,9 @@
             self.inventory.delete(machine, reason)
 
     def _run_cycle(self, now: float) -> None:
-        """Plan if something has changed or the last plan is `IDLE_CYCLE_S` old; commit; send the fleet summary."""
+        """Plan if something has changed or the last plan is `IDLE_CYCLE_INTERVAL_S` old; commit; send the fleet summary."""
         cluster = self.cluster
-        plan_due = now - self._last_planned_at >= constants.IDLE_CYCLE_S
+        plan_due = now - self._last_planned_at >= constants.IDLE_CYCLE_INTERVAL_S
         if cluster.changed or plan_due:
             cluster.changed = False
             self.failover_hints.resume_draining()
@@ -364,14 +366,14 @@
             elif job.state is JobState.CANCELLED:
                 for task in job.active.values():
                     # A stop command may have been lost, and all tasks of the job must end within `cancel_s`.
-                    if task.state in PRESENT and now - task.stop_sent_at > constants.STOP_REPEAT_S:
+                    if task.state in PRESENT and now - task.stop_sent_at > constants.STOP_RETRY_DELAY_S:
                         task.stop_sent_at = now
                         task.mark_stopping(0.0)
                         self.task_stopper.add(task)
 
     def _check_machines(self, now: float) -> None:
-        hears_anyone = not self.peers.by_node or self.peers.any_fresh(now)
-        verdicts = self.failure_detector.evaluate(now, wall_time(), hears_anyone, self.peers.all_fresh(now))
+        reaches_any_peer = not self.peers.by_node or self.peers.any_fresh(now)
+        verdicts = self.failure_detector.evaluate(now, wall_time(), reaches_any_peer, self.peers.all_fresh(now))
         if verdicts.isolated:
             self.duties.relinquish()
             # Kept apart from `_tasks`: `stop`, which the resignation itself triggers, must not cancel it. The reference
--- a/winglift/controller/pacing.py
+++ b/winglift/controller/pacing.py
@@ -23,10 +23,10 @@
         self._urgent.set()
 
     async def wait_for_work(self) -> None:
-        """Wait until there is work, for `IDLE_CYCLE_S` at most."""
+        """Wait until there is work, for `IDLE_CYCLE_INTERVAL_S` at most."""
         if not self._urgent.is_set():
             try:
-                async with asyncio.timeout(constants.IDLE_CYCLE_S):
+                async with asyncio.timeout(constants.IDLE_CYCLE_INTERVAL_S):
                     await self._wake.wait()
             except TimeoutError:
                 pass
@@ -50,12 +50,14 @@
     At 970 machines, a cycle every 0.15 s was half of the leader's work, and most cycles found little to do.
     """
     return max(
-        constants.CYCLE_S,
-        min(duration_s * constants.CYCLE_PAUSE, constants.CYCLE_PAUSE_S),
-        duration_s * constants.CYCLE_PAUSE_MIN,
+        constants.CYCLE_INTERVAL_S,
+        min(duration_s * constants.CYCLE_PAUSE_RATIO, constants.CYCLE_PAUSE_MAX_S),
+        duration_s * constants.CYCLE_PAUSE_MIN_RATIO,
     )
 
 
-def rest_s(duration_s: float) -> float:
+def long_pause_s(duration_s: float) -> float:
     """The pause, in seconds, after a cycle of `duration_s` unless urgent work arrives."""
-    return max(pause_s(duration_s), min(duration_s * constants.CYCLE_REST, constants.CYCLE_REST_S))
+    return max(
+        pause_s(duration_s), min(duration_s * constants.CYCLE_LONG_PAUSE_RATIO, constants.CYCLE_LONG_PAUSE_MAX_S)
+    )
--- a/winglift/controller/plan_executor.py
+++ b/winglift/controller/plan_executor.py
@@ -53,7 +53,7 @@
                 self.cluster.request_stop(task, grace_s, now, f"evicted for {beneficiary}")
 
     def _migrate(self, plan: Plan, now: float) -> None:
-        for ref, index in plan.image_restarts:
+        for ref, index in plan.restarts_near_image:
             task = self._active_task(ref, index)
             if task is not None and task.state is TaskState.FETCHING:
                 self.cluster.request_stop(task, 0.0, now, "restarted where its image is cached")
@@ -75,8 +75,8 @@
             if job.kind is Kind.GANG and len(placements) != len(assignments):
                 continue
             if self.cluster.propose_placement(job, placements, now):
-                if job.spec.tasks > constants.SMALL_RECORD_TASKS and not self.batcher.fits(job):
-                    self.batcher.reject(job, now, 0 if job.kind is Kind.GANG else len(placements) // 2)
+                if job.spec.tasks > constants.SMALL_RECORD_TASKS_MAX and not self.batcher.fits(job):
+                    self.batcher.reject_proposals(job, now, 0 if job.kind is Kind.GANG else len(placements) // 2)
                 placements_text = ", ".join(f"{index} on {machine.name}" for index, machine in placements)
                 log.debug("placement proposed: job=%s tasks=%s", ref, placements_text)
 
--- a/winglift/controller/record_watcher.py
+++ b/winglift/controller/record_watcher.py
@@ -90,7 +90,7 @@
             self.cluster.records_current_at = requested_at
             if changes.events:
                 self._wake()
-            await asyncio.sleep(constants.WATCH_PAUSE_S)
+            await asyncio.sleep(constants.LONG_POLL_PAUSE_S)
 
     def _decode_and_apply(self, key: str, version: int, value: msgspec.Raw, now: float) -> None:
         ref = key[len(records.JOB_PREFIX) :]
--- a/winglift/controller/snapshot_builder.py
+++ b/winglift/controller/snapshot_builder.py
@@ -42,7 +42,7 @@
         self.may_rent = may_rent
         # Machines of the previous steps in a workflow, by job.
         self.preferred_machines: dict[str, frozenset[str]] = {}
-        self.recent_arrivals: deque[Arrival] = deque(maxlen=constants.RECENT_ARRIVALS)
+        self.recent_arrivals: deque[Arrival] = deque(maxlen=constants.RECENT_ARRIVALS_MAX)
         self.gang_reservations = GangReservations(cluster)
         self.free_capacities = FreeCapacities(settings, cluster, inventory)
         objectives = settings.settings.objectives
--- a/winglift/controller/stop_cost.py
+++ b/winglift/controller/stop_cost.py
@@ -14,9 +14,9 @@
     in the first 100 s.
     """
     if task.running_since is None:
-        return constants.RESTART_S + now - task.state_since
+        return constants.RESTART_COST_S + now - task.state_since
     ran_s = now - task.running_since
-    return constants.RESTART_S + (min(ran_s, task.job.spec.save_s) if task.job.spec.checkpoint_s > 0 else ran_s)
+    return constants.RESTART_COST_S + (min(ran_s, task.job.spec.save_s) if task.job.spec.checkpoint_s > 0 else ran_s)
 
 
 def loses_gang_start(task: Task, now: float) -> bool:
@@ -27,5 +27,7 @@
     if task.job.kind is not Kind.GANG:
         return False
     return (
-        task.job.spec.tasks > 1 or task.running_since is None or now - task.running_since < constants.MIGRATION_AFTER_S
+        task.job.spec.tasks > 1
+        or task.running_since is None
+        or now - task.running_since < constants.MIGRATION_RUN_MIN_S
     )
--- a/winglift/controller/warm_pool_targets.py
+++ b/winglift/controller/warm_pool_targets.py
@@ -50,5 +50,5 @@
             [(submitted_at, spec.tasks) for submitted_at, spec in arrivals], wall, machine_type.boot_s, deviations
         )
         if proposed:
-            targets.append(WarmPoolTarget(latest_spec, int(script.ask("reserve", proposed, job_class, proposed))))
+            targets.append(WarmPoolTarget(latest_spec, int(script.call_hook("reserve", proposed, job_class, proposed))))
     return targets
--- a/winglift/node.py
+++ b/winglift/node.py
@@ -38,10 +38,10 @@
         """The tornado routes to add to the node's application."""
         ...
 
-    def lead(self, leader_term: LeaderTerm) -> None:
+    def on_leadership_gained(self, leader_term: LeaderTerm) -> None:
         """Called when this node has become the leader."""
 
-    def follow(self) -> None:
+    def on_leadership_lost(self) -> None:
         """Called when this node no longer leads; nothing may be written for that term any more."""
 
 
@@ -103,7 +103,7 @@
     def _may_enforce_cancellations(self) -> bool:
         return self.leader_term is not None and self.leader_term.may_only_enforce_cancellations()
 
-    def extend(self, extension: Extension) -> None:
+    def add_extension(self, extension: Extension) -> None:
         """Register an extension. Call this before `run`."""
         self._extensions.append(extension)
 
@@ -113,7 +113,7 @@
         """The state that this node sends to its peers."""
         # A leader whose lease is in doubt still counts as leader: the reports that other nodes forward to it show which
         # machines are alive.
-        leads = self.leader_term is not None and self.election.leadership.role in (Role.LEADER, Role.DOUBTFUL)
+        leads = self.leader_term is not None and self.election.leadership.role in (Role.LEADER, Role.LEASE_IN_DOUBT)
         return peer_messages.PeerState(self.known_term(), leads, self.state.health() is Health.GOOD, self.settings.node)
 
     def known_term(self) -> int:
@@ -123,7 +123,7 @@
     def _on_forwarded_report(self, body: bytes) -> tuple[int, bytes]:
         return self.reports.answer_forwarded(body)
 
-    def _on_peer_job_record(self, note: peer_messages.JobNote) -> int:
+    def _on_peer_job_record(self, note: peer_messages.RecordAnnouncement) -> int:
         """Handle a committed record from a peer: 200 if handled as the leader, 202 if only stored."""
         try:
             record = records.decode(note.record)
@@ -145,7 +145,7 @@
 
     # -- interface for the CancellationEnforcer -------------------------------------------------
 
-    def leader_by_record(self) -> str:
+    def recorded_leader_name(self) -> str:
         """The leader's name according to the state service, or an empty string."""
         return self.election.known_leader
 
@@ -153,9 +153,9 @@
         """Whether this node leads and enforces the cancellation of this job."""
         return self.leader_term is not None and self.leader_term.handles_cancellation(ref)
 
-    def has_cleared_job(self, ref: str) -> bool:
+    def has_stopped_all_tasks(self, ref: str) -> bool:
         """Whether this node leads and knows that no machine runs tasks of this job any more."""
-        return self.leader_term is not None and self.leader_term.has_cleared_job(ref)
+        return self.leader_term is not None and self.leader_term.has_stopped_all_tasks(ref)
 
     def on_machines_deleted(self, machines: list[str]) -> None:
         """Called after the CancellationEnforcer has deleted machines, to notify the leader's work."""
@@ -164,7 +164,7 @@
 
     def _on_peer_state(self, state: peer_messages.PeerState) -> None:
         leadership = self.election.leadership
-        if leadership.role in (Role.LEADER, Role.DOUBTFUL) and state.term > leadership.term:
+        if leadership.role in (Role.LEADER, Role.LEASE_IN_DOUBT) and state.term > leadership.term:
             self.election.step_down(f"{state.node} knows term {state.term}")
 
     def _on_peer_gone(self, node: str) -> None:
@@ -175,20 +175,20 @@
         a healthy leader's lease, became leader without receiving any report, and deleted 16 machines.
         """
         peer = self.peers.by_node[node]
-        if peer.last_state is not None and peer.last_state.leads and self.peers.connected(but=node):
-            asyncio.ensure_future(self.election.expire_lease_of(node))
+        if peer.last_state is not None and peer.last_state.leads and self.peers.connected(except_node=node):
+            asyncio.ensure_future(self.election.revoke_lease_of(node))
 
     def _on_record_committed(self, ref: str, version: int, record: records.JobRecord) -> None:
         """Called after this node has committed a change of a job, to notify the leader at once."""
         if self.leader_term is not None:
             self._apply_to_leader_term(ref, version, record)
         elif record.state != JobState.CANCELLED.value or not record.assignments:
-            self.peers.notify_leader(peer_messages.JobNote(version, ref, records.encode(record)))
+            self.peers.notify_leader(peer_messages.RecordAnnouncement(version, ref, records.encode(record)))
         # A cancellation with assigned tasks is sent to all nodes, and repeated to each until it acknowledges.
         self.cancellation_enforcer.add_record(ref, version, record)
         self.jobs.cache_final_state(ref, status_of(record, ref))
 
-    def not_up(self) -> str | None:
+    def unavailable_reason(self) -> str | None:
         """The reason why this node can't serve requests, or None if it can.
 
         In an outage that affects all nodes it counts as available, since no other node could serve better.
@@ -196,14 +196,14 @@
         now = monotonic_time()
         if not self.types and now - self._started_at < constants.STARTUP_GRACE_S:
             return "machine types are not known yet"
-        if self.state.health() is Health.DOWN and self.peers.state_works_elsewhere(now):
+        if self.state.health() is Health.DOWN and self.peers.any_peer_reaches_state_service(now):
             return "the state service refuses this node"
         # A node that reaches neither the state service nor any peer is either in an outage of all nodes or alone in a
         # partition. Its workers show which: in a partition they find other nodes, or their reports cease.
         silent_s = now - max(self._started_at, self.reports.last_report_at)
         if (
             self.settings.seeds
-            and not self.hears_others()
+            and not self.can_reach_others()
             and (
                 self.reports.partition_detector.state is PartitionState.REDIRECTING
                 or silent_s > self.settings.settings.workers.lease_s
@@ -212,21 +212,21 @@
             return "neither the state service nor any node is in reach"
         return None
 
-    def hears_others(self) -> bool:
+    def can_reach_others(self) -> bool:
         """Whether the state service or any peer has answered this node recently."""
         return self.state.health() is not Health.DOWN or self.peers.any_fresh(monotonic_time())
 
-    def leader_elsewhere(self) -> str | None:
+    def unreachable_leader_name(self) -> str | None:
         """The leader's name according to the state service if this node can't forward reports to it; None otherwise."""
         if self.leader_term is not None or self.peers.leader(monotonic_time()) is not None:
             return None
         name = self.election.known_leader
         return name if name in self.peers.by_node and self.state.health() is Health.GOOD else None
 
-    def crowded(self) -> bool:
+    def near_socket_limit(self) -> bool:
         """Whether open connections are near the socket limit: beyond it, reports, peers and services get no socket."""
         limit = self.settings.settings.machine_limits.sockets * constants.SOCKET_SHARE
-        return self._server is not None and self._server.open > limit
+        return self._server is not None and self._server.open_connections > limit
 
     def _on_role_change(self) -> None:
         """Start or stop the leader's work after a change of role."""
@@ -237,7 +237,7 @@
             self.cloud.set_leading(True)
             self.leader_term.start()
             for extension in self._extensions:
-                extension.lead(self.leader_term)
+                extension.on_leadership_gained(self.leader_term)
         elif self.leader_term is not None:
             self._end_leading()
             self.cloud.set_leading(False)
@@ -245,7 +245,7 @@
     def _end_leading(self) -> None:
         if self.leader_term is not None:
             for extension in self._extensions:
-                extension.follow()
+                extension.on_leadership_lost()
             self.leader_term.stop()
             self.leader_term = None
 
@@ -260,7 +260,7 @@
                     machine.type = offered.get(machine.type_name, machine.type)
             except CloudError as err:
                 log.info("machine types: request failed: error=%s", err)
-            await asyncio.sleep(constants.TYPES_EVERY_S if self.types else constants.CLOUD_PAUSE_S)
+            await asyncio.sleep(constants.MACHINE_TYPES_INTERVAL_S if self.types else constants.CLOUD_RETRY_DELAY_S)
 
     def _update_types(self, offered: dict[str, MachineType]) -> None:
         known = self.withdrawn_types | self.types
@@ -277,8 +277,8 @@
         self._server = current_runtime().serve(
             ReportFastPath(application(self, extension_routes), self.reports.handle),
             *parse_addr(self.settings.client_listen, "client_listen"),
-            max_body_size=constants.MAX_BODY,
-            idle_connection_timeout=constants.IDLE_CONNECTION_S,
+            max_body_size=constants.REQUEST_BODY_MAX_BYTES,
+            idle_connection_timeout=constants.SERVER_CONNECTION_IDLE_TIMEOUT_S,
         )
         self.peers.start(*parse_addr(self.settings.back, "back"))
         log.info(
@@ -298,4 +298,4 @@
         if self._server is not None:
             self._server.stop()
             asyncio.ensure_future(self._server.close_all_connections())
-        self.peers.shut()
+        self.peers.shut_down()
