--- a/tests/test_successors.py
+++ b/tests/test_successors.py
@@ -23,7 +23,7 @@
 from winglift.model.machine_state import MachineEvent, MachineState
 from winglift.model.record_application import apply_record
 from winglift.policy.failure_detector import FailureDetector
-from winglift.store.batcher import pack
+from winglift.store.batcher import build_job_record
 from winglift.store.client import Health, StateClient
 from winglift.store.election import Election
 from winglift.store.image_cache_snapshots import ImageCacheSnapshots
