--- a/tests/test_successors.py
+++ b/tests/test_successors.py
@@ -103,7 +103,7 @@
                 deleted_at = at
             at += step
         # The record that a successor writes keeps the time of the cancellation for its own successor.
-        value = records.encode(pack(current_leader.cluster.jobs["wk-1"]))
+        value = records.encode(build_job_record(current_leader.cluster.jobs["wk-1"]))
     last_start = start_times[-1]
     assert deleted_at <= max(DELETE_AGE_S, last_start + REPORT_WAIT_S) + 2 * step
     if last_start < WORKERS.cancel_s - DELETION_S - step - 4 * SKEW_S:
--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -332,7 +332,7 @@
             self.inventory.delete(machine, reason)
 
     def _run_cycle(self, now: float) -> None:
-        """Plan if something has changed or the last plan is `IDLE_CYCLE_INTERVAL_S` old; commit; send the fleet summary."""
+        """Plan if something has changed or the last plan is `IDLE_CYCLE_INTERVAL_S` old; commit; send fleet summaries."""
         cluster = self.cluster
         plan_due = now - self._last_planned_at >= constants.IDLE_CYCLE_INTERVAL_S
         if cluster.changed or plan_due:
