--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -332,7 +332,7 @@
             self.inventory.delete(machine, reason)
 
     def _run_cycle(self, now: float) -> None:
-        """Plan if something has changed or the last plan is `IDLE_CYCLE_INTERVAL_S` old; commit; send fleet summaries."""
+        """Plan if something has changed or the last plan is `IDLE_CYCLE_INTERVAL_S` old, commit, send summaries."""
         cluster = self.cluster
         plan_due = now - self._last_planned_at >= constants.IDLE_CYCLE_INTERVAL_S
         if cluster.changed or plan_due:
@@ -376,8 +376,7 @@
         verdicts = self.failure_detector.evaluate(now, wall_time(), reaches_any_peer, self.peers.all_fresh(now))
         if verdicts.isolated:
             self.duties.relinquish()
-            # Kept apart from `_tasks`: `stop`, which the resignation itself triggers, must not cancel it. The reference
-            # protects the task from Python's garbage collection.
+            # Not in `_tasks`: the resignation triggers `stop`, which must not cancel it. Referenced against collection.
             self._resignation = asyncio.ensure_future(self.election.resign("no contact with workers or other nodes"))
         for machine_type, zone in verdicts.failing_pools:
             log.info("machine pool failing: type=%s zone=%s, renting elsewhere", machine_type, zone)
