--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -377,7 +377,7 @@
         if verdicts.isolated:
             self.duties.relinquish()
             # Not in `_tasks`: the resignation triggers `stop`, which must not cancel it. Referenced against collection.
-            self._resignation = asyncio.ensure_future(self.election.resign("no contact with workers or other nodes"))
+            self._resignation = asyncio.ensure_future(self.election.resign("hears neither workers nor other nodes"))
         for machine_type, zone in verdicts.failing_pools:
             log.info("machine pool failing: type=%s zone=%s, renting elsewhere", machine_type, zone)
         for machine, reason in verdicts.to_delete:
