--- a/winglift/store/batcher.py
+++ b/winglift/store/batcher.py
@@ -1,7 +1,7 @@
-"""Writes job records in batches.
+"""Writes job records to the state service in batches.
 
-A transaction holds the records of several jobs, each conditional on its own revision, and all on the leadership key
-(PROTOCOL, invariant 1).
+One transaction holds the records of several jobs. Each record is conditional on its own revision, and the whole
+transaction on the leadership key, so that only the current leader can write (PROTOCOL, invariant 1).
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 
 log = logging.getLogger(__name__)
 
-MAX_TXN = 60 * 1024  # bytes; a transaction may hold 64 KiB in all
-WRITE_WAIT_MAX_S = 3.0  # longest wait of a batch for write budget
-REREAD_AGAIN_S = 0.3  # between two attempts to read a record whose state is in question
+MAX_TXN_BYTES = 60 * 1024  # bytes of records in one transaction; the limit for a whole transaction is 64 KiB
+WRITE_WAIT_MAX_S = 3.0  # maximum wait of a batch for write budget
+REREAD_RETRY_S = 0.3  # delay before a failed read of a record is retried, after a conflict or an unknown outcome
 
 
 def pack(job: Job) -> records.JobRecord:
-    """The record of a job in its present state."""
+    """Build the record of a job from its current state."""
     first_open, done_bitmap = records.pack_done(job.done)
     state = JobState.DONE if job.state is JobState.ENDING else job.state
     return records.JobRecord(
@@ -56,97 +56,97 @@
 
     job: Job
     record: records.JobRecord
-    urgency: WritePriority  # `pending_write` of the job, restored if the write is to be repeated
+    priority: WritePriority  # the job's `pending_write`, restored if the write has to be retried
     condition: state_messages.Condition
     put: state_messages.Put
 
 
 class Batcher:
-    """Writes changed job records in batches, most urgent first, conditional on the leadership key."""
+    """Writes changed job records in batches, most urgent first, on condition that this node still leads."""
 
     def __init__(self, state: StateClient, limits: State, cluster: ClusterState, fence: Fence) -> None:
         self.state = state
         self.limits = limits
         self.cluster = cluster
         self.fence = fence
-        self.most_ops = limits.txn_ops
-        self.fence_lost = False  # the leader key has another revision
+        self.max_batch_records = limits.txn_ops
+        self.fence_lost = False  # no more writes: the leadership key has another revision, or `stop` was called
         self._running: set[asyncio.Task] = set()
-        self._waiting_since: dict[str, float] = {}  # job: time since which its change that is not urgent waits
+        self._waiting_since: dict[str, float] = {}  # per job: since when a non-urgent change has been waiting
         self._timer: asyncio.TimerHandle | None = None
-        self.most_bytes = int(limits.value_kb * 1024)
+        self.max_value_bytes = int(limits.value_kb * 1024)
 
     def fits(self, job: Job) -> bool:
-        """Does the job's record fit into one value of the state service, beside RECORD_SPARE_BYTES?"""
-        return len(msgspec.json.encode(pack(job))) <= self.most_bytes - constants.RECORD_SPARE_BYTES
+        """Whether the job's record fits into one value of the state service, leaving RECORD_SPARE_BYTES free."""
+        return len(msgspec.json.encode(pack(job))) <= self.max_value_bytes - constants.RECORD_SPARE_BYTES
 
     def flush(self) -> None:
-        """Start as many transactions as changes, parallel slots and write budget allow, urgent changes first.
+        """Start as many transactions as pending changes, COMMIT_PARALLEL and write budget allow, urgent changes first.
 
-        Progress is written with the budget that starts and ends leave over: with one change of progress for each ended
-        task, arrays once used up all changes a second, and starts queued behind them.
+        Progress is written only with the budget that starts and ends leave over: when each ended task cost one write,
+        arrays used up the whole write rate, and starts queued behind them.
         """
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        # In an outage one transaction at a time is the probe; packing hundreds of records for each rejection took
-        # a tenth of a core.
-        parallel = constants.COMMIT_PARALLEL if self.state.health() is Health.GOOD else 1
-        if self.fence_lost or len(self._running) >= parallel:
+        # During an outage a single transaction serves as the probe: building hundreds of records for each rejected
+        # attempt took a tenth of a core.
+        max_parallel = constants.COMMIT_PARALLEL if self.state.health() is Health.GOOD else 1
+        if self.fence_lost or len(self._running) >= max_parallel:
             return
-        free = self.state.writes_free()
-        due, more_waiting = self._due(free, monotonic_time())
-        while due and free >= 1 and len(self._running) < parallel:
-            free -= self._send(due, min(self.most_ops, free))
+        available = self.state.writes_free()
+        due, more_waiting = self._due(available, monotonic_time())
+        while due and available >= 1 and len(self._running) < max_parallel:
+            available -= self._send(due, min(self.max_batch_records, available))
         if due or more_waiting:
             self.flush_soon()
 
     def flush_soon(self) -> None:
-        """Schedule a flush FLUSH_AGAIN_S from now, without waiting for the next cycle."""
+        """Schedule a flush in FLUSH_AGAIN_S, instead of waiting for the next planning cycle."""
         if self._timer is None and not self.fence_lost:
             self._timer = asyncio.get_running_loop().call_later(constants.FLUSH_AGAIN_S, self.flush)
 
-    def _due(self, free: int, now: float) -> tuple[list[Job], bool]:
-        """The jobs to be written now, most urgent first, and whether changes that are not urgent wait."""
+    def _due(self, available: int, now: float) -> tuple[list[Job], bool]:
+        """The jobs to write now, most urgent first, and whether any non-urgent changes are pending."""
         dirty = [job for job in self.cluster.jobs.values() if job.pending_write and not job.write_in_flight]
         due = [job for job in dirty if job.pending_write <= WritePriority.START]
         due.sort(key=lambda job: (job.pending_write, -job.spec.priority.rank, job.submitted_at))
         deferrable = [job for job in dirty if job.pending_write > WritePriority.START]
         waiting = {job.ref: self._waiting_since.get(job.ref, now) for job in deferrable}
         self._waiting_since = waiting
-        spare = free - len(due) - int(self.limits.write_rps * constants.START_WRITES_KEPT)
-        late = [job for job in deferrable if now - waiting[job.ref] >= constants.PROGRESS_AFTER_S]
-        late.sort(key=lambda job: waiting[job.ref])
-        # A change that has waited for PROGRESS_DELAY_MAX_S is due like a start, however small the budget is.
-        overdue = sum(now - waiting[job.ref] >= constants.PROGRESS_DELAY_MAX_S for job in late)
-        return due + late[: max(overdue, spare)], bool(waiting)
-
-    def _send(self, due: list[Job], most: int) -> int:
-        """Start one transaction with the first of the jobs that are due; returns the number of its changes."""
-        batch = self._take_batch(due, most)
+        spare = available - len(due) - int(self.limits.write_rps * constants.START_WRITES_KEPT)
+        delayed = [job for job in deferrable if now - waiting[job.ref] >= constants.PROGRESS_AFTER_S]
+        delayed.sort(key=lambda job: waiting[job.ref])
+        # A change that has waited for PROGRESS_DELAY_MAX_S is due like a start, even if no budget is left over.
+        overdue = sum(now - waiting[job.ref] >= constants.PROGRESS_DELAY_MAX_S for job in delayed)
+        return due + delayed[: max(overdue, spare)], bool(waiting)
+
+    def _send(self, due: list[Job], max_records: int) -> int:
+        """Start one transaction with the first of the due jobs; return the number of its changes."""
+        batch = self._take_batch(due, max_records)
         if not batch:
             return 0
         for write in batch:
             write.job.pending_write = WritePriority.NONE
             write.job.write_in_flight = True
-        # Every leader write is conditional on the leadership key at its revision (invariant 1).
+        # Conditional on the leadership key's revision: a node that no longer leads can't write (invariant 1).
         txn = state_messages.Transaction(
             [self.fence.condition(), *(write.condition for write in batch)], [write.put for write in batch]
         )
         task = asyncio.ensure_future(self._write(batch, txn))
         self._running.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._on_write_done)
         return len(batch)
 
-    def _take_batch(self, due: list[Job], most: int) -> list[_RecordWrite]:
-        """Take the first of what is due from the list: at most `most` records and MAX_TXN bytes, but at least one."""
+    def _take_batch(self, due: list[Job], max_records: int) -> list[_RecordWrite]:
+        """Remove the first jobs from `due`, up to `max_records` records and MAX_TXN bytes but at least one."""
         batch: list[_RecordWrite] = []
-        size = 0
-        while due and len(batch) < most:
+        batch_bytes = 0
+        while due and len(batch) < max_records:
             job = due[0]
             record = pack(job)
-            length = len(msgspec.json.encode(record))
-            if batch and size + length > MAX_TXN:
+            record_bytes = len(msgspec.json.encode(record))
+            if batch and batch_bytes + record_bytes > MAX_TXN_BYTES:
                 break
             due.pop(0)
             try:
@@ -155,17 +155,17 @@
                 log.error("job record: not written, it is final: error=%s", err)
                 job.pending_write = WritePriority.NONE
                 continue
-            size += length
+            batch_bytes += record_bytes
             batch.append(_RecordWrite(job, record, job.pending_write, condition, put))
         return batch
 
-    def _finished(self, task: asyncio.Task) -> None:
+    def _on_write_done(self, task: asyncio.Task) -> None:
         self._running.discard(task)
         if not task.cancelled():
             self.flush()
 
     async def _write(self, batch: list[_RecordWrite], txn: state_messages.Transaction) -> None:
-        """Commit a batch and take over its outcome in the cluster state."""
+        """Commit a batch and apply the result to the cluster state."""
         try:
             result = await self.state.commit(txn, max_wait=WRITE_WAIT_MAX_S)
         except (RequestRejected, LeaseExpired) as err:
@@ -173,7 +173,7 @@
             self._mark_for_retry(batch)
             await asyncio.sleep(constants.WRITE_AGAIN_S)
         except OutcomeUnknown as err:
-            # The transaction may have been executed or may yet be: read the records before deciding anything else.
+            # The transaction may have been executed, or may be later: read the records before any further decision.
             log.info("job records: outcome of a write unknown, reading again: error=%s", err)
             self._mark_for_retry(batch)
             for write in batch:
@@ -190,8 +190,8 @@
 
     def _shrink_if_invalid(self, batch: list[_RecordWrite], err: RequestRejected | LeaseExpired) -> None:
         if isinstance(err, InvalidRequest):
-            # The service's limits may be smaller than the settings say: the same batch would never get through.
-            self.most_ops = max(1, len(batch) // 2)
+            # The service's limits may be lower than the settings say; the same batch would be rejected every time.
+            self.max_batch_records = max(1, len(batch) // 2)
             log.warning(
                 "job records: batch rejected as invalid, batches made smaller: records=%d error=%s", len(batch), err
             )
@@ -201,12 +201,12 @@
     async def _resolve_conflict(
         self, batch: list[_RecordWrite], conflict: state_messages.Conflict
     ) -> list[_RecordWrite]:
-        """Read again the records whose revisions were not as expected; returns what is not yet released."""
+        """Reread the records whose revisions conflicted; return the writes that are still to be released."""
         self._mark_for_retry(batch)
         if records.LEADER_KEY in conflict.failed:
             self.fence_lost = True
             return batch
-        # The other records did not conflict: they may be written again before the conflicting ones have been read.
+        # The other records did not conflict and may be written again without waiting for the reread.
         stale = [write for write in batch if records.JOB_PREFIX + write.job.ref in conflict.failed]
         self._release(write.job for write in batch if write not in stale)
         for write in stale:
@@ -214,7 +214,7 @@
         return stale
 
     def _release(self, jobs: Iterable[Job]) -> None:
-        """End the writes of these jobs: apply what others changed meanwhile, and allow the next write."""
+        """Mark the jobs' writes as finished, and apply the changes by other nodes that arrived during the writes."""
         for job in jobs:
             job.write_in_flight = False
             if job.deferred_change is not None:
@@ -225,7 +225,7 @@
 
     def _mark_for_retry(self, batch: list[_RecordWrite]) -> None:
         for write in batch:
-            write.job.request_write(write.urgency)
+            write.job.request_write(write.priority)
 
     async def _reread(self, job: Job) -> None:
         while not self.fence_lost:
@@ -233,7 +233,7 @@
                 item = await self.state.get(records.JOB_PREFIX + job.ref)
                 break
             except (RequestRejected, OutcomeUnknown):
-                await asyncio.sleep(REREAD_AGAIN_S)
+                await asyncio.sleep(REREAD_RETRY_S)
         else:
             return
         if item is not None:
@@ -241,14 +241,14 @@
             apply_record(self.cluster, job.ref, item.version, records.decode(item.value), monotonic_time())
 
     def stop(self) -> None:
-        """Start no more transactions in this term."""
+        """Start no more transactions in this term. Those in flight are left to finish."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         self.fence_lost = True
 
     def reject(self, job: Job, now: float, keep: int) -> None:
-        """Reject all but the first `keep` proposed tasks of a job: the others would not fit into its record."""
+        """Reject all but the first `keep` proposed tasks of a job, so that its record fits into one value."""
         proposed = [task for task in job.active.values() if task.state is TaskState.PROPOSED]
         for task in proposed[keep:]:
             self.cluster.transition_and_release(task, TaskEvent.REJECT, now)
--- a/winglift/store/client.py
+++ b/winglift/store/client.py
@@ -1,7 +1,7 @@
 """Client of the state service (PROTOCOL, "Controller nodes -> state service"), within its rate budgets.
 
-Every request ends with an answer, or with an error that says whether it may have been executed: RequestRejected (it was
-not) or OutcomeUnknown (it may have been, or may yet be).
+Every request returns an answer or raises an error that says whether the request may have been executed: RequestRejected
+(it was not) or OutcomeUnknown (it may have been, or may be later).
 """
 
 from __future__ import annotations
@@ -24,33 +24,33 @@
 log = logging.getLogger(__name__)
 
 
-LIST_TIMEOUT_S = 3.0  # for one part of a listing
-LONG_QUEUE_S = 2.0  # longest wait for rate budget of listings and watches, which no user waits for
-WATCH_GRACE_S = 2.0  # past the time for which the service may hold back the answer to a watch
+LIST_TIMEOUT_S = 3.0  # timeout for one page of a listing
+LONG_QUEUE_S = 2.0  # maximum wait of listings and watches for rate budget; no user waits for them
+WATCH_GRACE_S = 2.0  # added to a watch's long-poll time to give the timeout of the request
 
 
 class StateServiceError(Exception):
-    """A request to the state service that has not brought the answer asked for."""
+    """A request to the state service that failed."""
 
 
 class RequestRejected(StateServiceError):
-    """The request was certainly not executed: 429, 503, no connection, or no budget left."""
+    """The request was certainly not executed: status 429 or 503, no connection, or no rate budget left."""
 
 
 class InvalidRequest(RequestRejected):
-    """The service says that the request breaks a limit of its own."""
+    """The service refused the request because it exceeds one of the service's own limits (status 400 or 413)."""
 
 
 class OutcomeUnknown(StateServiceError):
-    """No answer, or none that can be read: the request may have been executed, or may yet be."""
+    """No readable answer arrived: the request may have been executed, or may be later."""
 
 
 class LeaseExpired(StateServiceError):
-    """The lease that a request names has expired or was revoked; the request was not executed."""
+    """The lease named in the request has expired or was revoked; the request was not executed."""
 
 
 class RevisionCompacted(StateServiceError):
-    """The service no longer keeps the changes since the revision asked for."""
+    """The service no longer keeps the changes since the requested revision."""
 
 
 class Health(Enum):
@@ -73,9 +73,9 @@
     try:
         return decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
-        # Logged as a warning: an answer that is never understood once stayed hidden among passing failures.
+        # Logged as a warning: answers that could never be decoded once went unnoticed among transient failures.
         log.warning("state service: unreadable answer: error=%s", err)
-        raise OutcomeUnknown(f"odd answer of the state service: {err}") from None
+        raise OutcomeUnknown(f"unreadable answer of the state service: {err}") from None
 
 
 class StateClient:
@@ -92,33 +92,34 @@
         self.set_leading(False)
 
     def follower_share(self) -> float:
-        """The part of the service's budget, 0 to 1, that each follower may use."""
+        """The share of the service's request budget, 0 to 1, that each follower may use."""
         return (1 - constants.LEADER_SHARE) / (self._nodes - 1) if self._nodes > 1 else 1.0
 
     def set_leading(self, leads: bool) -> None:
-        """Resize this node's rate budgets: all nodes share the service's, and the leader takes the larger part."""
+        """Resize this node's rate budgets. All nodes share the service's budget; the leader's share is the largest."""
         share = (constants.LEADER_SHARE if self._nodes > 1 else 1.0) if leads else self.follower_share()
         now = monotonic_time()
         self._reads.resize(max(2.0, self._limits.rps * share), max(2.0, self._limits.rps * share), now)
         if self._nodes > 1:
             share = constants.LEADER_WRITE_SHARE if leads else (1 - constants.LEADER_WRITE_SHARE) / (self._nodes - 1)
-        # A follower writes seldom, but then for many users at once: its burst may exceed its share of a second.
+        # A follower writes rarely, but then for many users at once, so its burst may exceed its share of one second.
         burst = share if leads or self._nodes == 1 else max(share, constants.FOLLOWER_WRITE_BURST)
-        # However small the budget, one change must fit into the burst beside what is reserved for users.
+        # Even with a small budget, the burst must hold one change in addition to the reserve for users.
         self._writes.resize(max(1.0, self._limits.write_rps * share), max(1.5, self._limits.write_rps * burst), now)
 
     def writes_free(self) -> int:
-        """Number of changes that the leader could commit now; a few are reserved for users who submit at this node.
+        """Number of changes that the leader may commit now; a few are reserved for users who submit at this node.
 
-        Without the reserve, batches took every token as it came, and submissions at the leader waited or were refused.
+        Without the reserve, batches used every token as soon as it was available, and submissions at the leader waited
+        or were refused.
         """
-        kept = min(constants.SUBMIT_WRITES_KEPT, self._writes.burst * constants.SUBMIT_WRITES_SHARE)
-        return max(0, int(self._writes.free(monotonic_time()) - kept))
+        reserved = min(constants.SUBMIT_WRITES_KEPT, self._writes.burst * constants.SUBMIT_WRITES_SHARE)
+        return max(0, int(self._writes.free(monotonic_time()) - reserved))
 
     def has_spare_writes(self, kept_share: float) -> bool:
-        """Does the service answer, and is there write budget beyond `kept_share` of the changes a second?
+        """Whether the service answers and more write budget is left than `kept_share` of the changes a second.
 
-        Asked before writes that nothing waits for, so that they take no budget from starts, ends and users.
+        Checked before writes that nothing waits for, so that they take no budget from starts, ends and users.
         """
         return self.health() is Health.GOOD and self.writes_free() >= self._limits.write_rps * kept_share
 
@@ -144,7 +145,8 @@
     def _check_circuit(self) -> None:
         """Circuit breaker: while the service is down, let one request per STATE_PROBE_S through as a probe.
 
-        The others are rejected at once, so that users' connections don't pile up behind a service that does not answer.
+        The others are rejected at once, so that users' connections don't pile up waiting for a service that does not
+        answer.
         """
         if self.health() is Health.DOWN:
             now = monotonic_time()
@@ -152,10 +154,10 @@
                 raise RequestRejected("state service is down")
             self._next_probe = now + constants.STATE_PROBE_S
 
-    async def _pace(self, budget: Budget, amount: float, max_wait: float) -> None:
+    async def _wait_for_budget(self, budget: Budget, amount: float, max_wait: float) -> None:
         wait = budget.reserve(monotonic_time(), amount, max_wait)
         if wait is None:
-            raise RequestRejected("budget of the state service used up")
+            raise RequestRejected("rate budget for the state service is used up")
         if wait > 0:
             await asyncio.sleep(wait)
 
@@ -171,16 +173,16 @@
     ) -> Reply:
         if not urgent:
             self._check_circuit()
-            await self._pace(self._reads, 1, max_wait)
+            await self._wait_for_budget(self._reads, 1, max_wait)
             if changes:
-                await self._pace(self._writes, changes, max_wait)
+                await self._wait_for_budget(self._writes, changes, max_wait)
         reply = await self._exchange(method, path, body, timeout)
         self._check_status(reply, changes)
         self._record_outcome(True)
         return reply
 
     async def _exchange(self, method: str, path: str, body: bytes | None, timeout: float) -> Reply:
-        """Send one request and wait for its answer, whatever its status. Raises RequestRejected, OutcomeUnknown."""
+        """Send one request and return its answer, whatever the status. Raises RequestRejected or OutcomeUnknown."""
         try:
             return await self._http.request(method, path, body, timeout)
         except NotSent as err:
@@ -191,7 +193,7 @@
             raise OutcomeUnknown(str(err)) from None
 
     def _check_status(self, reply: Reply, changes: int) -> None:
-        """Raise RequestRejected for an overloaded or failing service; a 429 slows down the request's budgets."""
+        """Raise RequestRejected if the service is overloaded or failing. A 429 empties the budgets of the request."""
         if reply.status == 429:
             self._reads.penalise(monotonic_time())
             if changes:
@@ -206,7 +208,7 @@
     async def get(
         self, key: str, timeout: float = constants.STATE_TIMEOUT_S, urgent: bool = False
     ) -> state_messages.Item | None:
-        """The item of a key, or None if there is none. Raises RequestRejected or OutcomeUnknown."""
+        """The item stored under a key, or None. Raises RequestRejected or OutcomeUnknown."""
         reply = await self._call("GET", f"/store/{quote(key)}", timeout=timeout, urgent=urgent)
         if reply.status == 404:
             return None
@@ -215,7 +217,7 @@
         return _decode(_item_decoder, reply.body)
 
     async def list(self, prefix: str) -> tuple[list[state_messages.Item], int]:
-        """All items whose keys have the prefix, and a revision that is not newer than any part of the listing.
+        """All items whose keys have the prefix, and a revision that is not newer than any page of the listing.
 
         Raises RequestRejected or OutcomeUnknown.
         """
@@ -230,7 +232,7 @@
             if reply.status != 200:
                 raise RequestRejected(f"state service: {reply.status} for a list")
             listing = _decode(_listing_decoder, reply.body)
-            # Watching from the first part's revision sees again what changed during the listing.
+            # A watch that starts from the first page's revision also returns the changes made during the listing.
             revision = revision or listing.revision
             items += listing.items
             if not listing.more or not listing.items:
@@ -246,7 +248,7 @@
     ) -> state_messages.Committed | state_messages.Conflict:
         """Execute a compare-and-swap transaction; a Conflict names the keys whose revisions were not as expected.
 
-        Raises RequestRejected (not executed), OutcomeUnknown (perhaps executed, or yet to be) or LeaseExpired.
+        Raises RequestRejected (not executed), OutcomeUnknown (may have been executed, or may be later) or LeaseExpired.
         """
         body = msgspec.json.encode(txn)
         reply = await self._call("POST", "/commit", body, timeout, max_wait, len(txn.changes), urgent)
@@ -261,7 +263,7 @@
         raise RequestRejected(f"state service: {reply.status} {reply.body[:200]!r}")
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """Grant a new lease that lasts for `ttl_s` seconds without a renewal; returns its number."""
+        """Create a lease that expires `ttl_s` seconds after its latest renewal; return its id."""
         body = msgspec.json.encode(state_messages.GrantRequest(int(ttl_s * 1000)))
         reply = await self._call("POST", "/grants", body, urgent=True)
         if reply.status not in (200, 201):
@@ -269,8 +271,8 @@
         return _decode(_grant_decoder, reply.body).lease
 
     async def renew_lease(self, lease: int, timeout: float) -> None:
-        """Renew a lease. Raises LeaseExpired if it has ended."""
-        # Renewals skip the rate budget: a leader must not lose its lease to its own record writes.
+        """Renew a lease. Raises LeaseExpired if it has expired or was revoked."""
+        # Renewals skip the rate budget: a leader must not lose its lease because its own record writes used it up.
         reply = await self._call("POST", f"/grants/{lease}/touch", b"{}", timeout=timeout, urgent=True)
         if reply.status == 404:
             raise LeaseExpired
@@ -284,7 +286,7 @@
     async def changes(
         self, prefix: str, after: int, block_ms: int = constants.WATCH_BLOCK_MS
     ) -> state_messages.Changes:
-        """The changes under a prefix since revision `after`; with `block_ms` above 0 the service waits for one.
+        """The changes under a prefix since revision `after`; with `block_ms` above 0, a long poll for the next change.
 
         Raises RevisionCompacted if the service no longer keeps them.
         """
--- a/winglift/store/image_cache_snapshots.py
+++ b/winglift/store/image_cache_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of the machines' image caches in the state service, written with spare write budget only."""
+"""Snapshots of the machines' image caches in the state service, written only with spare write budget."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from ..model.leadership import Leadership
 from ..net.runtime import monotonic_time
 from ..wire import state as state_messages
-from .batcher import MAX_TXN
+from .batcher import MAX_TXN_BYTES
 from .client import LeaseExpired, OutcomeUnknown, RequestRejected, StateClient
 
 log = logging.getLogger(__name__)
 
 
 class ImageCacheSnapshots:
-    """Writes and loads the snapshots: which machine holds which image, for a start after all nodes ended."""
+    """Writes and loads the snapshots, which tell a leader after a restart of all nodes what images machines hold."""
 
     def __init__(self, state: StateClient, limits: State, leadership: Leadership, fence: Fence) -> None:
         self.state = state
@@ -31,26 +31,26 @@
         self.fence = fence
         self._written: dict[str, bytes] = {}
         self._task: asyncio.Task | None = None
-        self._next = monotonic_time() + constants.IMAGE_CACHE_SNAPSHOT_S
+        self._next_snapshot_at = monotonic_time() + constants.IMAGE_CACHE_SNAPSHOT_S
 
     def due(self, now: float) -> bool:
-        """Is a snapshot due, and is there budget for it that neither starts nor users need?"""
+        """Whether a snapshot is due and there is write budget that neither starts nor users need."""
         return (
-            now >= self._next
+            now >= self._next_snapshot_at
             and (self._task is None or self._task.done())
             and self.state.has_spare_writes(constants.IMAGE_CACHE_WRITES_KEPT)
         )
 
     def save(self, images: Mapping[str, Mapping[str, float]], now: float) -> None:
-        """Start to write the images of all machines, as far as they fit into IMAGE_CACHE_RECORDS values."""
-        self._next = now + constants.IMAGE_CACHE_SNAPSHOT_S
+        """Start to write the images of all machines, as many as fit into IMAGE_CACHE_RECORDS values."""
+        self._next_snapshot_at = now + constants.IMAGE_CACHE_SNAPSHOT_S
         records = image_cache_record.pack(images, int(self.limits.value_kb * 1024) - constants.RECORD_SPARE_BYTES)
         changed = {key: value for key, value in records.items() if self._written.get(key) != value}
         if changed:
             self._task = asyncio.ensure_future(self._write(changed))
 
     def stop(self) -> None:
-        """Cancel a write that is under way; none follows in this term."""
+        """Cancel a write in progress, at the end of a term."""
         if self._task is not None:
             self._task.cancel()
 
@@ -58,17 +58,17 @@
         keys = list(records)
         try:
             while keys and self.leadership.entitled(monotonic_time()):
-                # A few records at a time, and only from the budget that starts and users leave over.
-                most = min(
+                # A few records at a time, from the budget that starts and users leave over.
+                max_records = min(
                     int(self.state.writes_free() - self.limits.write_rps * constants.START_WRITES_KEPT),
                     self.limits.txn_ops,
-                    max(1, int(MAX_TXN / (self.limits.value_kb * 1024))),
+                    max(1, int(MAX_TXN_BYTES / (self.limits.value_kb * 1024))),
                 )
-                if most < 1:
+                if max_records < 1:
                     await asyncio.sleep(constants.WRITE_AGAIN_S)
                     continue
-                batch, keys = keys[:most], keys[most:]
-                # Every leader write is conditional on the leadership key at its revision (invariant 1).
+                batch, keys = keys[:max_records], keys[max_records:]
+                # Conditional on the leadership key's revision: a node that no longer leads can't write (invariant 1).
                 txn = state_messages.Transaction(
                     [self.fence.condition()], [state_messages.Put(key, msgspec.Raw(records[key])) for key in batch]
                 )
@@ -79,7 +79,7 @@
             log.debug("image cache snapshots: not written: error=%s", err)
 
     async def load(self) -> dict[str, dict[str, float]]:
-        """The snapshot of an earlier leader, by machine; empty if it can't be read now."""
+        """Load the snapshot of an earlier leader: the images by machine. Empty if it can't be read now."""
         try:
             items, _ = await self.state.list(image_cache_record.PREFIX)
         except (RequestRejected, OutcomeUnknown) as err:
