--- a/winglift/cluster/peer.py
+++ b/winglift/cluster/peer.py
@@ -1,4 +1,4 @@
-"""Another controller node as this one knows it: its last heartbeat, the connection to it, requests under way."""
+"""State that this node keeps about another controller node: last heartbeat, connection, pending requests."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from ..net.runtime import Stream
 from ..wire import peer as peer_messages
 
-OnAnswer = Callable[[tuple[int, bytes] | None], None]  # status and body; None: there is no answer
+OnAnswer = Callable[[tuple[int, bytes] | None], None]  # status and body; None if no answer arrived
 
 
 class PendingRequest(NamedTuple):
-    """A request sent to a peer and not answered yet."""
+    """A request that was sent to a peer and is not answered yet."""
 
-    deadline: float  # monotonic time in seconds after which no answer is waited for
+    deadline: float  # monotonic time in seconds at which the request is given up
     on_answer: OnAnswer
 
 
@@ -28,10 +28,10 @@
     seed: Seed
     last_state: peer_messages.PeerState | None = None
     last_state_at: float = 0.0
-    reachable_since: float = 0.0  # heartbeats have arrived without a gap since then
+    reachable_since: float = 0.0  # time since which heartbeats have arrived without a gap
     stream: Stream | None = None
-    acknowledges_records: bool = False  # it has answered an announced record: an earlier version never does
-    pending_requests: dict[int, PendingRequest] = field(default_factory=dict)  # by request number, in order of sending
+    acknowledges_records: bool = False  # has answered an announced record, as earlier versions never do
+    pending_requests: dict[int, PendingRequest] = field(default_factory=dict)  # by request number, in sending order
 
     def fresh(self, now: float) -> bool:
         """Whether its last heartbeat is younger than PEER_FRESH_S."""
--- a/winglift/cluster/peer_connections.py
+++ b/winglift/cluster/peer_connections.py
@@ -1,9 +1,9 @@
 """Connections between controller nodes (the `back` address).
 
-Each node keeps one connection to every other node. Over it a node sends heartbeats (its `PeerState`), forwards worker
-reports to the leader, announces job records and proofs of cancellation, and, as the leader, announces its machines.
-The frames are those of `winglift.wire.peer`; PROTOCOL leaves this exchange to the service ("Controller nodes <->
-controller nodes").
+Each node keeps one connection to every other node. Over it, the node sends heartbeats (its `PeerState`), forwards
+worker reports to the leader and announces job records and proofs of cancellation; the leader also announces what it
+knows about its machines. The frames are defined in `winglift.wire.peer`; PROTOCOL leaves this exchange to the
+implementation ("Controller nodes <-> controller nodes").
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class PeerConnections:
-    """This node's connections to its peers, the connections that they make to it, and what has arrived over both."""
+    """Connections between this node and its peers, in both directions, and the state received over them."""
 
     def __init__(
         self,
@@ -33,60 +33,60 @@
         seeds: list[Seed],
         own_state: Callable[[], peer_messages.PeerState],
         on_forwarded_report: Callable[[bytes], tuple[int, bytes]],
-        on_job: Callable[[peer_messages.JobNote], int],
+        on_job_record: Callable[[peer_messages.JobNote], int],
         on_state: Callable[[peer_messages.PeerState], None],
         on_peer_ended: Callable[[str], None],
         on_connected: Callable[[str], None],
         on_proofs: Callable[[list[tuple[str, str]]], None],
     ) -> None:
-        """Set up without opening a connection; `start` does that.
+        """Initialise without opening connections; `start` opens them.
 
-        `own_state` gives the state to send in heartbeats. `on_forwarded_report` and `on_job` answer a request of a
-        peer. `on_peer_ended` is called when a peer's process seems to have ended, and `on_connected` when this node
-        has connected to a peer, which may be another process than before.
+        `own_state` returns the state to send in heartbeats. `on_forwarded_report` and `on_job_record` handle a request
+        from a peer and return its answer. `on_peer_ended` is called when a peer's process seems to have ended, and
+        `on_connected` when this node has connected to a peer, whose process may have restarted since the last time.
         """
         self.node = node
         self.by_node = {seed.node: Peer(seed) for seed in seeds if seed.node != node}
         self._own_state = own_state
         self._on_forwarded_report = on_forwarded_report
-        self._on_job = on_job
+        self._on_job_record = on_job_record
         self._on_state = on_state
         self._on_peer_ended = on_peer_ended
         self._on_connected = on_connected
         self._on_proofs = on_proofs
-        # What a leader last announced about its machines, and when.
+        # A leader's latest announcement about its machines (encoded until it is needed), and when it was made.
         self._fleet: peer_messages.Fleet | bytes = peer_messages.Fleet({}, {})
         self.fleet_at = 0.0
-        self._omitted_images = 0  # machines whose images did not fit into the last announcement
+        self._omitted_images = 0  # number of machines whose images did not fit into the last announcement
         self._sweep_scheduled = False
-        self._last_request = 0
+        self._last_request_number = 0
         self._connection_tasks: list[asyncio.Task] = []
         self._stop_listening: Callable[[], None] | None = None
-        self._accepted: set[Stream] = set()  # connections that peers have made to this node
+        self._accepted: set[Stream] = set()  # connections opened by peers
 
     # -- state of the peers --------------------------------------------------------------------
 
     def leader(self, now: float) -> Peer | None:
-        """The peer that leads by its own fresh heartbeat, with the highest term if there are several."""
-        found: Peer | None = None
+        """The peer whose fresh heartbeat says that it leads; if there are several, the one with the highest term."""
+        leader: Peer | None = None
         for peer in self.by_node.values():
             if (
                 peer.last_state is not None
                 and peer.last_state.leads
                 and peer.fresh(now)
-                and (found is None or found.last_state is None or peer.last_state.term > found.last_state.term)
+                and (leader is None or leader.last_state is None or peer.last_state.term > leader.last_state.term)
             ):
-                found = peer
-        return found
+                leader = peer
+        return leader
 
     def connected(self, but: str = "") -> bool:
-        """Whether there is an open connection to any node other than `but`."""
+        """Whether a connection is open to any node other than `but`."""
         return any(
             peer.stream is not None and not peer.stream.closed() for name, peer in self.by_node.items() if name != but
         )
 
     def any_fresh(self, now: float) -> bool:
-        """Whether any peer's heartbeat is fresh."""
+        """Whether at least one peer's heartbeat is fresh."""
         return any(peer.fresh(now) for peer in self.by_node.values())
 
     def all_fresh(self, now: float) -> bool:
@@ -94,33 +94,33 @@
         return all(peer.fresh(now) for peer in self.by_node.values())
 
     def reachable_in_zone(self, zone: str, now: float) -> str | None:
-        """The first node of a zone, by name, whose heartbeats have arrived without a gap for PEER_REACHABLE_S."""
-        found = [
+        """The first node of a zone, by name, whose heartbeats have had no gap for PEER_REACHABLE_S; None if none."""
+        names = [
             peer.seed.node
             for peer in self.by_node.values()
             if peer.seed.zone == zone and peer.fresh(now) and now - peer.reachable_since > constants.PEER_REACHABLE_S
         ]
-        return min(found, default=None)
+        return min(names, default=None)
 
     def term(self) -> int:
-        """The highest term in any peer's last heartbeat; 0 if there is none."""
+        """The highest term in the peers' last heartbeats; 0 if there are none."""
         return max((peer.last_state.term for peer in self.by_node.values() if peer.last_state), default=0)
 
     def state_works_elsewhere(self, now: float) -> bool:
-        """Whether the state service serves any peer whose heartbeat is fresh."""
+        """Whether any peer with a fresh heartbeat reports that the state service answers it."""
         return any(
             peer.fresh(now) and peer.last_state is not None and peer.last_state.state_ok
             for peer in self.by_node.values()
         )
 
-    # -- connections that peers have made ------------------------------------------------------
+    # -- connections opened by peers -----------------------------------------------------------
 
     async def _serve(self, stream: Stream, address: tuple) -> None:
         stream.set_nodelay(True)
         self._accepted.add(stream)
         try:
             while True:
-                header, body = await self._read(stream)
+                header, body = await self._read_frame(stream)
                 self._dispatch(stream, header, body)
         except StreamClosedError:
             pass
@@ -131,31 +131,31 @@
             stream.close()
 
     def _dispatch(self, stream: Stream, header: peer_messages.Header, body: bytes) -> None:
-        """Handle one frame. Frames of an unknown type are ignored: a later version may send them."""
+        """Handle one frame. Unknown frame types are ignored, since a later version may send them."""
         if header.type is peer_messages.FrameType.PEER_STATE:
             self._on_heartbeat(peer_messages.parse_state(body))
         elif header.type is peer_messages.FrameType.JOB_RECORD:
-            status = self._on_job(peer_messages.parse_job(body))
+            status = self._on_job_record(peer_messages.parse_job(body))
             if header.request:
-                self._answer(stream, header, status, b"")
+                self._send_answer(stream, header, status, b"")
         elif header.type is peer_messages.FrameType.CANCELLATION_PROOFS:
             self._on_proofs(peer_messages.parse_proofs(body))
         elif header.type is peer_messages.FrameType.FLEET_SUMMARY:
-            # Parsed only by the next leader: at 970 machines parsing each announcement took a tenth of a follower's
-            # CPU time.
+            # Kept encoded, since only the next leader needs it: with 970 machines, parsing each announcement took a
+            # tenth of a follower's CPU time.
             self._fleet, self.fleet_at = body, monotonic_time()
         elif header.type is peer_messages.FrameType.FORWARDED_REPORT:
             try:
                 status, answer = self._on_forwarded_report(body)
             except Exception:
-                # A fault over one machine's report must not end the connection that all the others come by.
-                log.exception("forwarded report: fault in handling it")
+                # An error in handling one report must not close the connection that carries all other reports.
+                log.exception("forwarded report: error in handling it")
                 status, answer = 503, b"{}"
-            self._answer(stream, header, status, answer)
+            self._send_answer(stream, header, status, answer)
 
     @staticmethod
-    def _answer(stream: Stream, header: peer_messages.Header, status: int, answer: bytes) -> None:
-        # Not awaited: the next frame is read meanwhile, and a closed stream ends the loop.
+    def _send_answer(stream: Stream, header: peer_messages.Header, status: int, answer: bytes) -> None:
+        # Not awaited, so that the next frame is read meanwhile; if the stream is closed, reading ends the loop.
         stream.write(
             peer_messages.frame(
                 peer_messages.FrameType.FORWARDED_ANSWER, header.request, peer_messages.pack_answer(status, answer)
@@ -163,7 +163,7 @@
         )
 
     @staticmethod
-    async def _read(stream: Stream) -> tuple[peer_messages.Header, bytes]:
+    async def _read_frame(stream: Stream) -> tuple[peer_messages.Header, bytes]:
         header = peer_messages.parse_header(await stream.read_bytes(peer_messages.HEADER.size))
         return header, await stream.read_bytes(header.length) if header.length else b""
 
@@ -172,7 +172,7 @@
         if peer is None:
             log.warning("peer connection: heartbeat of an unknown node: node=%r", state.node)
             return
-        # Frames held back by a partition may arrive late: an older term says nothing about the present.
+        # A partition may delay frames: a heartbeat with an older term is out of date.
         if peer.last_state is not None and state.term < peer.last_state.term:
             return
         now = monotonic_time()
@@ -184,51 +184,51 @@
     # -- connections to peers ------------------------------------------------------------------
 
     def start(self, host: str, port: int) -> None:
-        """Listen there, and keep a connection to each peer."""
+        """Listen on `host:port`, and keep a connection to each peer."""
         self._stop_listening = current_runtime().listen(host, port, self._serve)
         self._connection_tasks = [
             asyncio.ensure_future(self._maintain_connection(peer)) for peer in self.by_node.values()
         ]
 
     def shut(self) -> None:
-        """Stop listening and end all connections, both those made by this node and those made to it."""
+        """Stop listening and close all connections, outgoing and accepted."""
         for task in self._connection_tasks:
             task.cancel()
         if self._stop_listening is not None:
             self._stop_listening()
-        # As at the end of a process: a peer that still reached this node would forward reports here, not to its
-        # successor.
+        # Closed as if the process had ended: over an open connection, peers would go on forwarding reports to this node
+        # instead of to its successor.
         for stream in list(self._accepted):
             stream.close()
 
     async def _maintain_connection(self, peer: Peer) -> None:
-        """Connect to a peer, again whenever the connection ends, and send heartbeats over it."""
+        """Keep a connection to a peer, reconnecting whenever it ends, and send heartbeats over it."""
         host, port = parse_addr(peer.seed.addr, "seeds")
-        closed = False  # the last connection was closed by the other side
+        closed_by_peer = False  # whether the peer closed the last established connection
         while True:
             stream: Stream | None = None
             try:
                 async with asyncio.timeout(constants.PEER_CONNECT_S):
                     stream = await current_runtime().connect(host, port)
-                closed = True
+                closed_by_peer = True
                 await self._use_connection(peer, stream)
             except TimeoutError:
-                closed = False
+                closed_by_peer = False
             except (StreamClosedError, OSError) as err:
                 refused = isinstance(getattr(err, "real_error", err), ConnectionRefusedError)
-                if closed and refused:
-                    # Closed and then refused: most likely its process has ended.
-                    closed = False
+                if closed_by_peer and refused:
+                    # The peer closed the connection and then refused a new one: its process has most likely ended.
+                    closed_by_peer = False
                     self._on_peer_ended(peer.seed.node)
             finally:
                 peer.stream = None
                 if stream is not None:
                     stream.close()
                 self._expire_requests(peer, math.inf)
-            await asyncio.sleep(constants.PEER_RECONNECT_S if closed else constants.PEER_RETRY_S)
+            await asyncio.sleep(constants.PEER_RECONNECT_S if closed_by_peer else constants.PEER_RETRY_S)
 
     async def _use_connection(self, peer: Peer, stream: Stream) -> None:
-        """Send a heartbeat every PEER_STATE_INTERVAL_S and read answers until the stream is closed.
+        """Send a heartbeat every PEER_STATE_INTERVAL_S and read answers, until the stream is closed.
 
         Raises TimeoutError if a heartbeat can't be written within PEER_WRITE_S, and StreamClosedError.
         """
@@ -240,7 +240,7 @@
             while not stream.closed():
                 async with asyncio.timeout(constants.PEER_WRITE_S):
                     heartbeat = peer_messages.pack_state(self._own_state())
-                    # Shielded: tornado logs an error for each write that is cancelled.
+                    # Shielded, since tornado logs an error for each cancelled write.
                     await asyncio.shield(
                         stream.write(peer_messages.frame(peer_messages.FrameType.PEER_STATE, 0, heartbeat))
                     )
@@ -251,7 +251,7 @@
     async def _read_answers(self, peer: Peer, stream: Stream) -> None:
         try:
             while True:
-                header, body = await self._read(stream)
+                header, body = await self._read_frame(stream)
                 request = peer.pending_requests.pop(header.request, None)
                 if request is not None:
                     request.on_answer(
@@ -269,15 +269,15 @@
     # -- requests to peers ---------------------------------------------------------------------
 
     def forward_report(self, peer: Peer, report: bytes, on_answer: OnAnswer) -> None:
-        """Forward a worker's report to the leader; `on_answer` is called exactly once, with None without an answer.
+        """Forward a worker's report to the leader; `on_answer` is called exactly once, with None if there is no answer.
 
-        A request has no task and no timer of its own: with 400 reports a second those were a sixth of a follower's
-        CPU time.
+        Requests share one timer and have no tasks of their own: at 400 reports a second, a task and a timer per request
+        took a sixth of a follower's CPU time.
         """
         self._ask(peer, peer_messages.FrameType.FORWARDED_REPORT, report, on_answer)
 
     def announce_record(self, peer: Peer, note: peer_messages.JobNote, on_answer: OnAnswer) -> None:
-        """Announce a record to a node; the status is 200 if it acts on it as the leader, 202 if it now knows it."""
+        """Announce a record to a peer, which answers 200 if it acts on it as the leader, or 202 if it has noted it."""
 
         def on_acknowledged(answer: tuple[int, bytes] | None) -> None:
             peer.acknowledges_records = peer.acknowledges_records or answer is not None
@@ -286,28 +286,33 @@
         self._ask(peer, peer_messages.FrameType.JOB_RECORD, peer_messages.pack_job(note), on_acknowledged)
 
     def announce_proofs(self, proofs: list[tuple[str, str]]) -> None:
-        """Announce proofs (job and machine; no job: the machine is deleted) to the peers that know such frames.
+        """Announce proofs of cancellation to the peers whose version knows such frames.
 
-        Such a frame would end the connection to an earlier version, each time anew.
+        A proof is a pair of job and machine; an empty job means that the machine is deleted. A peer of an earlier
+        version closes the connection at each such frame, so none is sent to it.
         """
         for peer in self.by_node.values():
-            for first in range(0, len(proofs) if peer.acknowledges_records else 0, constants.CANCELLATION_PROOFS_MAX):
+            for start_index in range(
+                0, len(proofs) if peer.acknowledges_records else 0, constants.CANCELLATION_PROOFS_MAX
+            ):
                 self._send(
                     peer,
                     peer_messages.FrameType.CANCELLATION_PROOFS,
-                    peer_messages.pack_proofs(proofs[first : first + constants.CANCELLATION_PROOFS_MAX]),
+                    peer_messages.pack_proofs(proofs[start_index : start_index + constants.CANCELLATION_PROOFS_MAX]),
                 )
 
-    def _ask(self, peer: Peer, kind: peer_messages.FrameType, body: bytes, on_answer: OnAnswer) -> None:
+    def _ask(self, peer: Peer, frame_type: peer_messages.FrameType, body: bytes, on_answer: OnAnswer) -> None:
         if peer.stream is None or peer.stream.closed():
             on_answer(None)
             return
-        self._last_request = self._last_request % (2**32 - 1) + 1  # never 0, which asks for no answer
-        number = self._last_request
+        self._last_request_number = (
+            self._last_request_number % (2**32 - 1) + 1
+        )  # never 0: that number requests no answer
+        number = self._last_request_number
         peer.pending_requests[number] = PendingRequest(monotonic_time() + constants.FORWARD_TIMEOUT_S, on_answer)
         try:
-            # Not awaited: what can't be written in time gets no answer in time either.
-            peer.stream.write(peer_messages.frame(kind, number, body))
+            # Not awaited: a request that can't be written in time reaches its deadline without an answer.
+            peer.stream.write(peer_messages.frame(frame_type, number, body))
         except (StreamClosedError, peer_messages.BadFrame):
             if peer.pending_requests.pop(number, None) is not None:
                 on_answer(None)
@@ -320,7 +325,7 @@
             asyncio.get_running_loop().call_later(constants.FORWARD_SWEEP_S, self._sweep)
 
     def _sweep(self) -> None:
-        """Give up the requests whose deadline has passed."""
+        """Expire the requests whose deadline has passed."""
         self._sweep_scheduled = False
         now = monotonic_time()
         for peer in self.by_node.values():
@@ -330,7 +335,7 @@
 
     @staticmethod
     def _expire_requests(peer: Peer, now: float) -> None:
-        """Report that there is no answer to each request whose deadline is not after `now`."""
+        """Remove the requests whose deadline is not after `now`, and report that they got no answer."""
         for number, request in list(peer.pending_requests.items()):
             if request.deadline > now:
                 break
@@ -338,14 +343,14 @@
             request.on_answer(None)
 
     def notify_leader(self, note: peer_messages.JobNote) -> None:
-        """Announce a record to the leader, which saves it the wait for its watch. Loss does no harm."""
+        """Announce a record to the leader, which would otherwise learn of it later from its watch. May be lost."""
         peer = self.leader(monotonic_time())
         if peer is not None:
             self._send(peer, peer_messages.FrameType.JOB_RECORD, peer_messages.pack_job(note))
 
     @property
     def fleet(self) -> peer_messages.Fleet:
-        """What a leader last announced about its machines; empty if that can't be parsed."""
+        """The latest announcement of a leader about its machines; empty if it can't be parsed."""
         if isinstance(self._fleet, bytes):
             try:
                 self._fleet = peer_messages.parse_fleet(self._fleet)
@@ -357,8 +362,8 @@
     def announce_fleet(self, fleet: peer_messages.Fleet) -> None:
         """Announce the leader's machines to all peers.
 
-        Workers don't report their images, and a silent one reports nothing: what the leader knows of both would be lost
-        with it.
+        Reports don't list images, and silent machines send none, so without this a new leader would know neither the
+        images nor how long machines have been silent.
         """
         self._fleet, self.fleet_at = fleet, monotonic_time()
         body, omitted = peer_messages.pack_fleet(fleet)
@@ -373,11 +378,11 @@
             self._send(peer, peer_messages.FrameType.FLEET_SUMMARY, body)
 
     @staticmethod
-    def _send(peer: Peer, kind: peer_messages.FrameType, body: bytes) -> None:
-        """Send a frame that asks for no answer; it is lost if there is no connection."""
+    def _send(peer: Peer, frame_type: peer_messages.FrameType, body: bytes) -> None:
+        """Send a frame that needs no answer; it is lost if there is no connection."""
         if peer.stream is None or peer.stream.closed():
             return
         try:
-            peer.stream.write(peer_messages.frame(kind, 0, body))
+            peer.stream.write(peer_messages.frame(frame_type, 0, body))
         except (StreamClosedError, peer_messages.BadFrame):
             pass
--- a/winglift/net/budget.py
+++ b/winglift/net/budget.py
@@ -1,4 +1,4 @@
-"""Rate budgets: token buckets that stay below what a service allows."""
+"""Rate budgets: token buckets that keep a node's requests within a service's rate limit."""
 
 from __future__ import annotations
 
@@ -7,41 +7,41 @@
 
 @dataclass
 class Budget:
-    """A bucket of `rate` tokens a second, holding at most `burst`."""
+    """A token bucket that gains `rate` tokens a second and holds at most `burst`."""
 
     rate: float
     burst: float
     tokens: float = 0.0
-    at: float | None = None
+    updated_at: float | None = None
 
-    def _fill(self, now: float) -> None:
-        if self.at is None:
+    def _refill(self, now: float) -> None:
+        if self.updated_at is None:
             self.tokens = self.burst
         else:
-            self.tokens = min(self.burst, self.tokens + (now - self.at) * self.rate)
-        self.at = now
+            self.tokens = min(self.burst, self.tokens + (now - self.updated_at) * self.rate)
+        self.updated_at = now
 
     def resize(self, rate: float, burst: float, now: float) -> None:
-        """Change rate and burst: a node's share of a service changes when it starts or stops leading."""
-        self._fill(now)
+        """Change rate and burst, as a node's share of a service does when the node starts or stops leading."""
+        self._refill(now)
         self.rate, self.burst = rate, burst
         self.tokens = min(self.tokens, burst)
 
     def take(self, now: float, amount: float = 1.0) -> bool:
-        """Take `amount` tokens (at most `burst`) if they are available now; returns whether they were taken."""
-        self._fill(now)
+        """Take `amount` tokens (at most `burst`) if they are available now; return whether they were taken."""
+        self._refill(now)
         if self.tokens < min(amount, self.burst):
             return False
         self.tokens -= amount
         return True
 
     def reserve(self, now: float, amount: float, max_wait: float) -> float | None:
-        """Reserve tokens in FIFO order. Returns the seconds to wait for them, or None if that exceeds `max_wait`.
+        """Reserve tokens in FIFO order; return the seconds to wait for them, or None if that exceeds `max_wait`.
 
-        Without a reservation, each of 80 simultaneous submissions computed a short wait, and most then waited for
-        5 s and more, past their users' timeout.
+        Without reservations, each of 80 simultaneous submissions computed the same short wait, and most then waited 5 s
+        or more, past their users' timeouts.
         """
-        self._fill(now)
+        self._refill(now)
         wait = max(0.0, (amount - self.tokens) / self.rate)
         if wait > max_wait:
             return None
@@ -50,15 +50,15 @@
 
     def free(self, now: float) -> float:
         """Number of tokens available now, never negative."""
-        self._fill(now)
+        self._refill(now)
         return max(0.0, self.tokens)
 
     def wait_s(self, now: float, amount: float = 1.0) -> float:
         """Seconds until `amount` tokens (at most `burst`) are available."""
-        self._fill(now)
+        self._refill(now)
         return max(0.0, (min(amount, self.burst) - self.tokens) / self.rate)
 
     def penalise(self, now: float) -> None:
-        """Empty the bucket after a 429 answer: other clients have used the service's budget too."""
-        self._fill(now)
+        """Empty the bucket after a 429 answer: other clients share the service's limit."""
+        self._refill(now)
         self.tokens = min(self.tokens, 0.0)
--- a/winglift/net/client.py
+++ b/winglift/net/client.py
@@ -1,7 +1,7 @@
 """HTTP client with a connection pool, built on tornado's IOStream and HTTP1Connection.
 
-Tornado's simple client opens a connection for every request. This one keeps a few per address,
-since connections cost sockets, packets and processor time, which are scarce on the machines.
+Tornado's simple client opens a connection for every request. This client keeps a few open per address, because each new
+connection costs sockets, packets and CPU time, which are scarce on the machines.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 
 
 class Unanswered(Exception):
-    """No complete response arrived: the request may or may not have been carried out."""
+    """No complete response arrived: the request may have been executed or not."""
 
 
 class NotSent(Unanswered):
-    """The connection could not be opened: the request was certainly not carried out."""
+    """The connection could not be opened: the request was certainly not executed."""
 
 
 @dataclass(slots=True)
 class Reply:
-    """An HTTP response; `retry_after` is its Retry-After header in seconds, if numeric."""
+    """An HTTP response; `retry_after` is the Retry-After header in seconds, if it is numeric."""
 
     status: int
     body: bytes
@@ -42,12 +42,12 @@
 
 
 class _Collector(httputil.HTTPMessageDelegate):
-    """Collects the parts of one response."""
+    """Collects status, headers and body of one response."""
 
     def __init__(self) -> None:
         self.status = 0
         self.headers: httputil.HTTPHeaders | None = None
-        self.chunks: list[bytes] = []
+        self.body_chunks: list[bytes] = []
         self.finished = False
 
     def headers_received(self, start_line, headers):  # type: ignore[no-untyped-def]
@@ -57,14 +57,14 @@
 
     def data_received(self, chunk: bytes) -> None:
         """Store a part of the body."""
-        self.chunks.append(chunk)
+        self.body_chunks.append(chunk)
 
     def finish(self) -> None:
         """Mark the response as complete."""
         self.finished = True
 
     def reusable(self) -> bool:
-        """Whether the connection may serve another request after this response."""
+        """Whether the connection can be used for another request after this response."""
         return self.finished and self.headers is not None and self.headers.get("Connection", "").lower() != "close"
 
 
@@ -89,7 +89,8 @@
             stream.set_nodelay(True)
             await stream.connect((self.host, self.port))
         except BaseException as err:
-            # A cancelled attempt must close its socket, or network partitions use up the socket limit.
+            # Also close the socket of a cancelled attempt: during network partitions, sockets left open would use up
+            # the process's limit.
             stream.close()
             if isinstance(err, (StreamClosedError, OSError)):
                 raise NotSent(f"{self.host}:{self.port}: {err}") from None
@@ -113,26 +114,26 @@
             headers["Content-Type"] = "application/json"
             headers["Content-Length"] = str(len(body))
         collector = _Collector()
-        done = False
+        complete = False
         try:
             conn.write_headers(httputil.RequestStartLine(method, path, ""), headers, body)
             conn.finish()
             await conn.read_response(collector)
-            done = collector.finished
+            complete = collector.finished
         except (StreamClosedError, OSError, httputil.HTTPInputError) as err:
             raise Unanswered(f"{method} {path}: {err}") from None
         finally:
-            if not done or not collector.reusable() or len(self._idle) >= self.most or stream.closed():
+            if not complete or not collector.reusable() or len(self._idle) >= self.most or stream.closed():
                 stream.close()
             else:
                 conn.detach()
                 stream.set_close_callback(None)
                 self._idle.append(_PooledConnection(stream, time.monotonic()))
-        if not done or collector.headers is None:
+        if not complete or collector.headers is None:
             raise Unanswered(f"{method} {path}: connection closed")
         retry_after = collector.headers.get("Retry-After")
         delay_s = float(retry_after) if retry_after and retry_after.isdigit() else None
-        return Reply(collector.status, b"".join(collector.chunks), delay_s)
+        return Reply(collector.status, b"".join(collector.body_chunks), delay_s)
 
     async def request(self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0) -> Reply:
         """Send one request and return its response; `timeout` in s covers connecting and the exchange.
@@ -147,12 +148,12 @@
                     try:
                         return await self._exchange(stream, method, path, body)
                     except Unanswered:
-                        # The peer may have closed an idle connection; a GET is safe to repeat.
+                        # The server may have closed the idle connection. Only a GET is safe to repeat.
                         if method != "GET":
                             raise
                 return await self._exchange(await self._connect(), method, path, body)
         except TimeoutError:
-            # Pooled connections may be behind the same network partition: open new ones next time.
+            # The pooled connections may be cut off by the same network partition: open new ones next time.
             self.close()
             raise Unanswered(f"{method} {path}: no answer within {timeout:g} s") from None
 
--- a/winglift/net/runtime.py
+++ b/winglift/net/runtime.py
@@ -1,8 +1,8 @@
 """The runtime of a node: clocks, randomness and network connections.
 
-All other modules of a node read clocks and open connections through it. It is kept in a context variable, so that
-several nodes can run in one process, each with its own clocks and its own place in a network. `SystemRuntime` is the
-default; tests install a simulated one with `use_runtime`.
+All other modules of a node read clocks and open connections through the runtime. It is kept in a context variable, so
+that several nodes can run in one process, each with its own clocks and its own location in the network. `SystemRuntime`
+is the default; tests install a simulated runtime with `use_runtime`.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     """HTTP client for one address; requests may run concurrently."""
 
     async def request(self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0) -> Reply:
-        """Send one request; `timeout` in s. Raises NotSent if it was certainly not carried out, else Unanswered."""
+        """Send one request; `timeout` in s. Raises NotSent if it was certainly not executed, else Unanswered."""
         ...
 
     def close(self) -> None:
@@ -44,7 +44,7 @@
         ...
 
     def write(self, data: bytes) -> Awaitable[None]:
-        """Write all of `data`; done once it is handed to the socket."""
+        """Write all of `data`; completes once the data is handed to the socket."""
         ...
 
     def set_nodelay(self, value: bool) -> None:
@@ -63,14 +63,14 @@
 class Server(Protocol):
     """A listening HTTP server."""
 
-    open: int  # number of open connections of users and workers
+    open: int  # number of open connections from users and workers
 
     def stop(self) -> None:
         """Accept no more connections."""
         ...
 
     async def close_all_connections(self) -> None:
-        """Close the connections that are open."""
+        """Close all open connections."""
         ...
 
 
@@ -81,7 +81,7 @@
     """Clocks, randomness and network connections of one node."""
 
     def monotonic_time(self) -> float:
-        """Seconds of a clock that never goes backwards, from an arbitrary origin."""
+        """Seconds of a clock that never goes backwards, counted from an arbitrary origin."""
         ...
 
     def wall_time(self) -> float:
@@ -103,20 +103,21 @@
     async def connect(self, host: str, port: int) -> Stream:
         """Open a connection.
 
-        Raises OSError or tornado's StreamClosedError, which holds a ConnectionRefusedError if nobody listens.
+        Raises OSError or tornado's StreamClosedError, whose `real_error` is a ConnectionRefusedError if nothing listens
+        on the port.
         """
         ...
 
     def listen(self, host: str, port: int, on_stream: OnStream) -> Callable[[], None]:
-        """Pass each accepted connection to `on_stream`. Returns a function that stops listening."""
+        """Pass each accepted connection to `on_stream`; return a function that stops listening."""
         ...
 
 
 class CountingServer(HTTPServer):
     """HTTP server that counts open connections and closes idle ones.
 
-    The count lets the node refuse users before it runs out of sockets. Tornado's own idle timeout needs a timer and a
-    future per request, a sixth of the cost of handling a report.
+    The count lets the node refuse users before it runs out of sockets. Tornado's own idle timeout is not used: it
+    creates a timer and a future per request, which took a sixth of the cost of handling a report.
     """
 
     open = 0
@@ -141,12 +142,12 @@
         self._schedule_sweep()
 
     def start_request(self, server_conn: object, request_conn: Any) -> Any:
-        """Note that the connection waits for its next request."""
+        """Record that the connection waits for its next request from now on."""
         self.waiting_since[server_conn] = time.monotonic()
         return super().start_request(server_conn, request_conn)
 
     def on_close(self, server_conn: object) -> None:
-        """Discount a closed connection."""
+        """Remove a closed connection from the count."""
         self.open -= 1
         self.waiting_since.pop(server_conn, None)
         super().on_close(server_conn)
@@ -156,11 +157,11 @@
             self._sweep_timer = asyncio.get_running_loop().call_later(self.idle_s / 5, self._close_idle)
 
     def _close_idle(self) -> None:
-        """Close connections that wait for longer than `idle_s`; no answer takes that long, so they are idle."""
+        """Close connections that have waited longer than `idle_s`. No answer takes that long, so they are idle."""
         self._sweep_timer = None
-        oldest = time.monotonic() - self.idle_s
+        min_waiting_since = time.monotonic() - self.idle_s
         for server_conn, since in list(self.waiting_since.items()):
-            if since < oldest:
+            if since < min_waiting_since:
                 server_conn.stream.close()  # type: ignore[attr-defined]
         self._schedule_sweep()
 
@@ -178,7 +179,7 @@
 
 
 class SystemRuntime:
-    """The runtime of the machine that the process runs on."""
+    """Runtime with the clocks, random generator and network of the operating system."""
 
     def monotonic_time(self) -> float:
         """Seconds of the system's monotonic clock."""
@@ -189,7 +190,7 @@
         return time.time()
 
     def random_source(self) -> random.Random:
-        """A generator seeded by the operating system."""
+        """A new random generator, seeded by the operating system."""
         return random.Random()
 
     def client(self, host: str, port: int, most: int | None = None) -> Requests:
@@ -213,7 +214,7 @@
         return stream
 
     def listen(self, host: str, port: int, on_stream: OnStream) -> Callable[[], None]:
-        """Listen for TCP connections. Returns a function that stops listening."""
+        """Listen for TCP connections; return a function that stops listening."""
         server = _StreamServer(on_stream)
         server.listen(port, host)
         return server.stop
@@ -228,7 +229,7 @@
 
 
 def use_runtime(runtime: Runtime) -> None:
-    """Install a runtime for the current context and for the tasks that it starts from now on."""
+    """Install a runtime in the current context; tasks that are created from it later inherit the runtime."""
     _current.set(runtime)
 
 
--- a/winglift/wire/cloud.py
+++ b/winglift/wire/cloud.py
@@ -19,7 +19,7 @@
         "zones": "halls",
     },
 ):
-    """A machine type: amounts in CPUs, GPUs and GB, prices per hour."""
+    """A machine type. Memory and image cache are in GB, prices per hour."""
 
     name: str
     cpus: float
@@ -36,16 +36,16 @@
 class Types(msgspec.Struct, frozen=True, rename={"types": "rigTypes"}):
     """Answer of GET /flavors."""
 
-    types: list[msgspec.Raw]  # decoded one by one: a malformed type must not hide the others
+    types: list[msgspec.Raw]  # decoded one by one, so that a malformed type does not hide the others
 
 
-_type = msgspec.json.Decoder(MachineType)
+_machine_type_decoder = msgspec.json.Decoder(MachineType)
 
 
 def machine_type(raw: msgspec.Raw) -> MachineType:
-    """Decode one machine type. Raises ValueError that names it if it is malformed or could run nothing."""
+    """Decode one machine type. Raises ValueError that names it if it is malformed or unable to run any task."""
     try:
-        decoded = _type.decode(raw)
+        decoded = _machine_type_decoder.decode(raw)
     except msgspec.DecodeError as err:
         raise ValueError(f"{bytes(raw)[:60]!r}: {err}") from None
     for field, value in (("cpus", decoded.cpus), ("memGb", decoded.memory_gb)):
@@ -105,7 +105,7 @@
         "age_s": "ageS",
     },
 ):
-    """One machine in a Listing; `age_s` in s."""
+    """One machine in a Listing; `age_s` is its age in seconds."""
 
     name: str
     addr: str = ""
@@ -117,7 +117,7 @@
 
 
 class Listing(msgspec.Struct, frozen=True, rename={"machines": "rigs", "more": "truncated"}):
-    """Answer of GET /hosts: one page."""
+    """Answer of GET /hosts: one page of the listing; `more`: further pages follow."""
 
     machines: list[Listed]
     more: bool = False
--- a/winglift/wire/flows.py
+++ b/winglift/wire/flows.py
@@ -1,8 +1,8 @@
-"""Messages about workflows: the plan made from CWL files, nodes' answers, and workers' tasks and results.
+"""Messages about workflows: the plan made from CWL files, the answers of nodes, and tasks and results of workers.
 
-A plan holds processes by name, checked and without references to files. Types are normalised: a name
-("null", "boolean", "int", "long", "float", "double", "string", "File", "Directory", "Any"), a list (one of them),
-{"array": T}, {"enum": [names]} or {"record": {field: T}}. A file's content travels by its SHA-256.
+A plan holds checked processes by name, without references to files. Types are normalised to a name ("null", "boolean",
+"int", "long", "float", "double", "string", "File", "Directory", "Any"), a list of alternatives, {"array": T},
+{"enum": [names]} or {"record": {field: T}}. The content of a file is referred to by its SHA-256.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 FLOW = re.compile(r"fl-[0-9]{1,20}\Z")
 DIGEST = re.compile(r"[0-9a-f]{64}\Z")
-UPLOAD = "sha256:"  # prefix of the location of a file whose content is an upload
-BASE = "/winglift-task"  # placeholder for a task's directory until a worker creates it; contains in, out and tmp
+UPLOAD = "sha256:"  # prefix of a file's location: its content is the upload with this SHA-256
+BASE = "/winglift-task"  # placeholder for the directory (with in, out and tmp) that a worker creates for a task
 
 
 class FlowState(StrEnum):
@@ -39,7 +39,7 @@
 
 
 class Binding(msgspec.Struct, frozen=True, omit_defaults=True):
-    """How a value becomes command-line arguments (CWL CommandLineBinding)."""
+    """How a value is turned into command-line arguments (CWL CommandLineBinding)."""
 
     position: int | str = 0
     prefix: str | None = None
@@ -49,7 +49,7 @@
 
 
 class Param(msgspec.Struct, frozen=True, omit_defaults=True):
-    """An input of a process. `items` binds each element of an array, `fields` each field of a record."""
+    """An input of a process. `items` is the binding of each array element, `fields` that of each record field."""
 
     name: str
     type: Any
@@ -71,14 +71,14 @@
 
 
 class Staged(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A file of InitialWorkDirRequirement: `entry` is its content, or an expression that yields files."""
+    """An entry of InitialWorkDirRequirement: `entry` is a file's content, or an expression that returns files."""
 
     entry: str
     name: str | None = None
 
 
 class Hints(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Scheduling hints of a step, which CWL has no terms for; None: not given. Times in s, sizes in GB."""
+    """Scheduling hints of a step, for which CWL has no terms; None: not given. Times in s, sizes in GB."""
 
     team: str | None = None
     priority: str | None = None
@@ -91,7 +91,7 @@
     image_gb: float | None = None
 
     def over(self, other: Hints) -> Hints:
-        """These hints, completed by those of `other` where they are not given."""
+        """These hints, with those of `other` where none is given here."""
         given = {name: value for name in self.__struct_fields__ if (value := getattr(self, name)) is not None}
         return msgspec.structs.replace(other, **given)
 
@@ -130,11 +130,11 @@
 
 
 class StepInput(msgspec.Struct, frozen=True, omit_defaults=True):
-    """An input of a step: where its value comes from and how several sources are merged."""
+    """An input of a step: the sources of its value, and how several sources are merged."""
 
     name: str
     source: list[str] = []  # "input" or "step/output"
-    several: bool = False  # the source is a list, even if it has one element
+    several: bool = False  # the source was given as a list, even if it has one element
     merge: str = "merge_nested"
     pick: str | None = None
     default: Any = None
@@ -143,7 +143,7 @@
 
 
 class Step(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A step of a workflow: a call of the process `run`, perhaps scattered over inputs."""
+    """A step of a workflow: it runs the process named `run`, once or scattered over inputs."""
 
     name: str
     run: str
@@ -181,14 +181,14 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """All processes of a workflow by name; `main` is the one to run."""
+    """All processes of a workflow by name; `main` names the one to run."""
 
     main: str
     processes: dict[str, Process]
 
 
 class FlowSubmission(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Body of POST /flows. `plan` and `order` are SHA-256 of uploads; `reuse` an earlier workflow of the team."""
+    """Body of POST /flows. `plan` and `order`: SHA-256 of uploads; `reuse`: an earlier workflow of the team."""
 
     ref: str
     team: str
@@ -199,7 +199,7 @@
 
 
 class StepReply(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The state of one step in a FlowReply; `tasks` and `done` count its tasks."""
+    """The state of one step in a FlowReply; `tasks` is the number of its tasks, `done` that of the finished ones."""
 
     path: str
     state: str  # waiting, running, done, skipped, failed
@@ -217,21 +217,21 @@
     submitted: float = 0.0
     plan: str = ""
     cause: str = ""
-    errors: str = ""  # the end of a failed tool's standard error
+    errors: str = ""  # the last part of a failed tool's standard error
     outputs: str | None = None  # SHA-256 of the output object
     steps: list[StepReply] = []
     next: int | None = None
 
 
 class FlowList(msgspec.Struct, frozen=True):
-    """A list of workflows; `more`: it is cut off; `files`: address of the upload store."""
+    """A list of workflows; `more`: further ones follow; `files`: address of the upload store."""
 
     flows: list[FlowReply]
     more: bool = False
     files: str = ""
 
 
-# -- tasks and results of workers, exchanged through the upload store ----------------------------
+# -- task descriptions and results, exchanged with workers through the upload store ---------------
 
 
 class Fetch(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -242,7 +242,7 @@
 
 
 class Work(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One task's command. `outputs` are collected once it has exited; `time_s` is its time limit in s (0: none)."""
+    """The command of one task. `outputs` are collected once it has exited; `time_s` is its time limit (0: none)."""
 
     command: list[str]
     env: dict[str, str] = {}
@@ -256,7 +256,7 @@
 
 
 class Found(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The result of a command: files by output, or in `whole` the object of cwl.output.json."""
+    """The result of one task: files by output name, or in `whole` the object read from cwl.output.json."""
 
     machine: str
     attempt: int
@@ -269,14 +269,14 @@
 
 
 class FoundItem(msgspec.Struct, frozen=True):
-    """The result of the task with this number."""
+    """A task's number with its result."""
 
     number: int
     found: Found
 
 
 class FoundPage(msgspec.Struct, frozen=True):
-    """One page of results; `more`: others follow."""
+    """One page of results; `more`: further pages follow."""
 
     items: list[FoundItem]
     more: bool = False
@@ -316,24 +316,24 @@
 
 
 def parse_plan(body: bytes) -> Plan:
-    """Decode a plan and check its references between processes and steps. Raises Invalid that names the place."""
+    """Decode a plan and check the references between its processes and steps. Raises Invalid that names the place."""
     try:
         plan = plans.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
         raise Invalid(f"plan: {err}") from None
     for name, process in [("main", plan.main)] if plan.main not in plan.processes else []:
         raise Invalid(f"plan: {name}: no process {process}")
-    for name, found in plan.processes.items():
-        if not isinstance(found, Workflow):
+    for name, definition in plan.processes.items():
+        if not isinstance(definition, Workflow):
             continue
-        known = {p.name for p in found.inputs}
-        for step in found.steps:
+        known = {p.name for p in definition.inputs}
+        for step in definition.steps:
             if step.run not in plan.processes:
                 raise Invalid(f"plan: {name}/{step.name}: no process {step.run}")
             known |= {f"{step.name}/{out}" for out in step.outputs}
         for where, sources in [
-            *((f"{name}/{s.name}/{i.name}", i.source) for s in found.steps for i in s.inputs),
-            *((f"{name}/{o.name}", o.source) for o in found.outputs),
+            *((f"{name}/{s.name}/{i.name}", i.source) for s in definition.steps for i in s.inputs),
+            *((f"{name}/{o.name}", o.source) for o in definition.outputs),
         ]:
             for source in sources:
                 if source not in known:
--- a/winglift/wire/peer.py
+++ b/winglift/wire/peer.py
@@ -1,6 +1,6 @@
 """Frames of the connections between controller nodes (PROTOCOL, "Controller nodes <-> controller nodes").
 
-A frame is a header (magic, type, request number, body length) and a body, packed with struct. Numbers are
+A frame consists of a header (magic, type, request number, body length) and a body, packed with struct. All numbers are
 big-endian.
 """
 
@@ -12,26 +12,26 @@
 
 MAGIC = 0x574C  # "WL"
 HEADER = struct.Struct(">HBII")
-MAX_FRAME = 128 * 1024  # bytes; a report or a record is at most 64 KiB
+MAX_FRAME = 128 * 1024  # bytes of a frame's body; reports and records are at most 64 KiB
 _STATE = struct.Struct(">QBB")
 _STATUS = struct.Struct(">H")
-_JOB = struct.Struct(">QH")
-_COUNT = struct.Struct(">H")
-_SIZE = struct.Struct(">f")
+_JOB_HEADER = struct.Struct(">QH")
+_UINT16 = struct.Struct(">H")
+_FLOAT32 = struct.Struct(">f")
 
 
 class FrameType(IntEnum):
-    """What a frame between two nodes carries."""
+    """The type of a frame, which says what its body contains."""
 
-    PEER_STATE = 1  # a node's term, whether it leads, whether the state service answers it
+    PEER_STATE = 1  # heartbeat: a node's term, whether it leads, whether the state service answers it
     FORWARDED_REPORT = 2  # a worker's report, forwarded to the leader
     FORWARDED_ANSWER = 3  # the leader's answer to it
-    JOB_RECORD = 4  # a committed job record; with a request number it is acknowledged by a FORWARDED_ANSWER
-    FLEET_SUMMARY = 5  # what only the leader knows of machines, for nodes that may lead after it
-    CANCELLATION_PROOFS = 6  # which machines are proven to run no tasks of which cancelled jobs
+    JOB_RECORD = 4  # a committed job record; if it has a request number, a FORWARDED_ANSWER acknowledges it
+    FLEET_SUMMARY = 5  # what only the leader knows about machines, for the node that leads next
+    CANCELLATION_PROOFS = 6  # pairs of a cancelled job and a machine proven to run none of its tasks
 
 
-_KNOWN = frozenset(int(kind) for kind in FrameType)
+_KNOWN_TYPES = frozenset(int(frame_type) for frame_type in FrameType)
 
 
 class BadFrame(ValueError):
@@ -40,16 +40,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Header:
-    """The header of a frame: type, request number (0: no answer is expected), length of the body in bytes."""
+    """The header of a frame: type, request number (0: no answer expected), length of the body in bytes."""
 
-    type: FrameType | None  # None: a type of a later version, whose body is skipped
+    type: FrameType | None  # None: a type of a later version; the body is skipped
     request: int
     length: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerState:
-    """A node's state, sent every PEER_STATE_INTERVAL_S."""
+    """Heartbeat of a node, sent every PEER_STATE_INTERVAL_S."""
 
     term: int
     leads: bool
@@ -59,28 +59,28 @@
 
 @dataclass(frozen=True, slots=True)
 class JobNote:
-    """A committed job record, sent to another node."""
+    """A committed job record announced to another node."""
 
     version: int
     ref: str
     record: bytes
 
 
-def frame(kind: FrameType, request: int, body: bytes) -> bytes:
-    """Header and body of a frame. Raises BadFrame if the body is longer than MAX_FRAME."""
+def frame(frame_type: FrameType, request: int, body: bytes) -> bytes:
+    """Encode a frame from header fields and body. Raises BadFrame if the body is longer than MAX_FRAME."""
     if len(body) > MAX_FRAME:
         raise BadFrame("body too long")
-    return HEADER.pack(MAGIC, kind, request, len(body)) + body
+    return HEADER.pack(MAGIC, frame_type, request, len(body)) + body
 
 
 def parse_header(data: bytes) -> Header:
-    """Parse a frame's header. Raises BadFrame."""
+    """Decode a frame's header. Raises BadFrame."""
     if len(data) != HEADER.size:
-        raise BadFrame("short header")
-    magic, kind, request, length = HEADER.unpack(data)
+        raise BadFrame("header too short")
+    magic, type_number, request, length = HEADER.unpack(data)
     if magic != MAGIC or length > MAX_FRAME:
-        raise BadFrame("not a winglift frame")
-    return Header(FrameType(kind) if kind in _KNOWN else None, request, length)
+        raise BadFrame("wrong magic number, or body too long")
+    return Header(FrameType(type_number) if type_number in _KNOWN_TYPES else None, request, length)
 
 
 def pack_state(state: PeerState) -> bytes:
@@ -94,11 +94,11 @@
         term, leads, state_ok = _STATE.unpack_from(body)
         return PeerState(term, bool(leads), bool(state_ok), body[_STATE.size :].decode())
     except (struct.error, UnicodeDecodeError):
-        raise BadFrame("bad state frame") from None
+        raise BadFrame("malformed PEER_STATE body") from None
 
 
 def pack_answer(status: int, body: bytes) -> bytes:
-    """Encode the body of a FORWARDED_ANSWER frame: HTTP status and body of an answer."""
+    """Encode the body of a FORWARDED_ANSWER frame: HTTP status and body of the answer."""
     return _STATUS.pack(status) + body
 
 
@@ -107,40 +107,40 @@
     try:
         return _STATUS.unpack_from(body)[0], body[_STATUS.size :]
     except struct.error:
-        raise BadFrame("bad answer frame") from None
+        raise BadFrame("malformed FORWARDED_ANSWER body") from None
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """A leader's soft state about machines: images per machine (GB each), and seconds of silence of silent machines."""
+    """A leader's soft state: images per machine (GB each), and how long (s) each silent machine has not reported."""
 
     images: dict[str, dict[str, float]]
     silent: dict[str, float]
 
 
-def pack_fleet(fleet: Fleet, most: int = MAX_FRAME) -> tuple[bytes, int]:
-    """Encode the body of a FLEET_SUMMARY frame of at most `most` bytes.
+def pack_fleet(fleet: Fleet, max_bytes: int = MAX_FRAME) -> tuple[bytes, int]:
+    """Encode the body of a FLEET_SUMMARY frame of at most `max_bytes` bytes.
 
-    Returns the body and the number of machines whose images did not fit. Silence is included for all machines, since
-    the rules for deleting machines depend on it.
+    Returns the body and the number of machines whose images did not fit. All silent machines are included, since the
+    rules for deleting machines depend on them.
     """
-    silent = [_COUNT.pack(len(fleet.silent))]
-    silent += [_pack_text(machine) + _SIZE.pack(seconds) for machine, seconds in fleet.silent.items()]
-    left = most - _COUNT.size - sum(map(len, silent))
+    silent = [_UINT16.pack(len(fleet.silent))]
+    silent += [_pack_text(machine) + _FLOAT32.pack(seconds) for machine, seconds in fleet.silent.items()]
+    bytes_left = max_bytes - _UINT16.size - sum(map(len, silent))
     images: list[bytes] = []
-    for machine, held in fleet.images.items():
-        part = b"".join(
+    for machine, images_gb in fleet.images.items():
+        entry = b"".join(
             [
                 _pack_text(machine),
-                _COUNT.pack(len(held)),
-                *(_pack_text(image) + _SIZE.pack(gb) for image, gb in held.items()),
+                _UINT16.pack(len(images_gb)),
+                *(_pack_text(image) + _FLOAT32.pack(gb) for image, gb in images_gb.items()),
             ]
         )
-        if len(part) > left:
+        if len(entry) > bytes_left:
             break
-        left -= len(part)
-        images.append(part)
-    return b"".join([_COUNT.pack(len(images)), *images, *silent]), len(fleet.images) - len(images)
+        bytes_left -= len(entry)
+        images.append(entry)
+    return b"".join([_UINT16.pack(len(images)), *images, *silent]), len(fleet.images) - len(images)
 
 
 def parse_fleet(body: bytes) -> Fleet:
@@ -148,77 +148,77 @@
     images: dict[str, dict[str, float]] = {}
     silent: dict[str, float] = {}
     try:
-        (machine_count,), offset = _COUNT.unpack_from(body), _COUNT.size
+        (machine_count,), offset = _UINT16.unpack_from(body), _UINT16.size
         for _ in range(machine_count):
             machine, offset = _parse_text(body, offset)
-            (image_count,) = _COUNT.unpack_from(body, offset)
-            offset += _COUNT.size
-            held = images.setdefault(machine, {})
+            (image_count,) = _UINT16.unpack_from(body, offset)
+            offset += _UINT16.size
+            images_gb = images.setdefault(machine, {})
             for _ in range(image_count):
                 image, offset = _parse_text(body, offset)
-                (held[image],) = _SIZE.unpack_from(body, offset)
-                offset += _SIZE.size
+                (images_gb[image],) = _FLOAT32.unpack_from(body, offset)
+                offset += _FLOAT32.size
         # Frames of earlier versions stop at this point, without the silent machines.
-        silent_count = _COUNT.unpack_from(body, offset)[0] if offset < len(body) else 0
-        offset += _COUNT.size
+        silent_count = _UINT16.unpack_from(body, offset)[0] if offset < len(body) else 0
+        offset += _UINT16.size
         for _ in range(silent_count):
             machine, offset = _parse_text(body, offset)
-            (silent[machine],) = _SIZE.unpack_from(body, offset)
-            offset += _SIZE.size
+            (silent[machine],) = _FLOAT32.unpack_from(body, offset)
+            offset += _FLOAT32.size
     except (struct.error, UnicodeDecodeError):
-        raise BadFrame("bad fleet frame") from None
+        raise BadFrame("malformed FLEET_SUMMARY body") from None
     return Fleet(images, silent)
 
 
 def _pack_text(text: str) -> bytes:
     data = text.encode()
-    return _COUNT.pack(len(data)) + data
+    return _UINT16.pack(len(data)) + data
 
 
 def _parse_text(body: bytes, offset: int) -> tuple[str, int]:
-    """Read a text at `offset`; returns it and the offset after it."""
-    (size,) = _COUNT.unpack_from(body, offset)
-    data = body[offset + _COUNT.size : offset + _COUNT.size + size]
-    if len(data) != size:
-        raise BadFrame("short text")
-    return data.decode(), offset + _COUNT.size + size
+    """Decode a text at `offset`; return it and the offset after it."""
+    (length,) = _UINT16.unpack_from(body, offset)
+    data = body[offset + _UINT16.size : offset + _UINT16.size + length]
+    if len(data) != length:
+        raise BadFrame("text is truncated")
+    return data.decode(), offset + _UINT16.size + length
 
 
 def pack_proofs(proofs: list[tuple[str, str]]) -> bytes:
-    """Encode the body of a CANCELLATION_PROOFS frame: pairs of job and machine.
+    """Encode the body of a CANCELLATION_PROOFS frame: pairs of job id and machine.
 
-    An empty job id means that the machine is gone, with all tasks on it.
+    An empty job id means that the machine is deleted, so that no task runs on it.
     """
-    return _COUNT.pack(len(proofs)) + b"".join(_pack_text(ref) + _pack_text(machine) for ref, machine in proofs)
+    return _UINT16.pack(len(proofs)) + b"".join(_pack_text(ref) + _pack_text(machine) for ref, machine in proofs)
 
 
 def parse_proofs(body: bytes) -> list[tuple[str, str]]:
     """Decode the body of a CANCELLATION_PROOFS frame. Raises BadFrame."""
     try:
-        (count,), offset = _COUNT.unpack_from(body), _COUNT.size
+        (count,), offset = _UINT16.unpack_from(body), _UINT16.size
         proofs: list[tuple[str, str]] = []
         for _ in range(count):
             ref, offset = _parse_text(body, offset)
             machine, offset = _parse_text(body, offset)
             proofs.append((ref, machine))
     except (struct.error, UnicodeDecodeError):
-        raise BadFrame("bad frame of proofs") from None
+        raise BadFrame("malformed CANCELLATION_PROOFS body") from None
     return proofs
 
 
 def pack_job(note: JobNote) -> bytes:
     """Encode the body of a JOB_RECORD frame."""
     ref = note.ref.encode()
-    return _JOB.pack(note.version, len(ref)) + ref + note.record
+    return _JOB_HEADER.pack(note.version, len(ref)) + ref + note.record
 
 
 def parse_job(body: bytes) -> JobNote:
     """Decode the body of a JOB_RECORD frame. Raises BadFrame."""
     try:
-        version, size = _JOB.unpack_from(body)
-        ref = body[_JOB.size : _JOB.size + size]
-        if len(ref) != size:
-            raise BadFrame("bad job frame")
-        return JobNote(version, ref.decode(), body[_JOB.size + size :])
+        version, length = _JOB_HEADER.unpack_from(body)
+        ref = body[_JOB_HEADER.size : _JOB_HEADER.size + length]
+        if len(ref) != length:
+            raise BadFrame("malformed JOB_RECORD body")
+        return JobNote(version, ref.decode(), body[_JOB_HEADER.size + length :])
     except (struct.error, UnicodeDecodeError):
-        raise BadFrame("bad job frame") from None
+        raise BadFrame("malformed JOB_RECORD body") from None
--- a/winglift/wire/state.py
+++ b/winglift/wire/state.py
@@ -25,7 +25,7 @@
 
 
 class Condition(msgspec.Struct, frozen=True, rename={"key": "k", "version": "keyRev"}):
-    """A condition of a transaction: the key has this version; 0: it does not exist."""
+    """A condition of a transaction: the key's latest change has this version; 0: the key does not exist."""
 
     key: str
     version: int
@@ -53,20 +53,20 @@
 
 
 class Committed(msgspec.Struct, frozen=True, rename={"revision": "ledgerRev"}):
-    """Answer of POST /commit: carried out at this revision."""
+    """Answer of POST /commit: the transaction was executed at this revision."""
 
     revision: int
 
 
 class Conflict(msgspec.Struct, frozen=True, rename={"revision": "ledgerRev"}):
-    """Answer of POST /commit: refused, since these keys had other versions."""
+    """Answer of POST /commit: the transaction was refused because these keys had other versions."""
 
     failed: list[str]
     revision: int = 0
 
 
 class Grant(msgspec.Struct, frozen=True, rename={"lease": "permit"}):
-    """Answer of POST /grants."""
+    """Answer of POST /grants: the id of the new lease."""
 
     lease: int
 
@@ -92,7 +92,7 @@
 
     put: str | None = None
     delete: str | None = None
-    value: msgspec.Raw = msgspec.Raw(b"")  # empty for a deletion; Raw allows no union with null
+    value: msgspec.Raw = msgspec.Raw(b"")  # empty for a deletion; msgspec allows no `Raw | None`
     version: int
 
 
--- a/winglift/wire/users.py
+++ b/winglift/wire/users.py
@@ -1,6 +1,6 @@
 """Messages between users and controller nodes (PROTOCOL, "Users -> controller nodes").
 
-The names used on the wire appear only in this module, in `rename`; the code uses the usual terms of the field.
+The names used on the wire appear only in this module, as values of `rename`; the code uses the terms of the field.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Kind(StrEnum):
-    """A job's shape."""
+    """The kind of a job: independent tasks, a gang that starts together, or a service."""
 
     ARRAY = "array"
     GANG = "ensemble"
@@ -26,7 +26,7 @@
 
 
 class Priority(StrEnum):
-    """A job's urgency."""
+    """The priority of a job."""
 
     PRODUCTION = "production"
     HIGH = "urgent"
@@ -35,11 +35,11 @@
 
     @property
     def rank(self) -> int:
-        """A number that is larger for more urgent jobs; production has the largest."""
-        return _RANK[self]
+        """The priority as a number; a higher number is a higher priority."""
+        return _RANKS[self]
 
 
-_RANK = {Priority.PRODUCTION: 3, Priority.HIGH: 2, Priority.NORMAL: 1, Priority.LOW: 0}
+_RANKS = {Priority.PRODUCTION: 3, Priority.HIGH: 2, Priority.NORMAL: 1, Priority.LOW: 0}
 
 
 class JobStatus(StrEnum):
@@ -52,7 +52,7 @@
 
 
 class Invalid(ValueError):
-    """A request that is malformed; its text names the field."""
+    """A malformed request; the message names the field."""
 
 
 class Submission(
@@ -113,9 +113,9 @@
 
 
 _decoder = msgspec.json.Decoder(Submission)
-_AMOUNTS = ("cpus", "gpus", "memory_gb", "image_gb", "estimate_s", "checkpoint_s", "save_s")
-_NAMES = ("job_class", "team", "image")
-_WIRE = {field.name: field.encode_name for field in msgspec.structs.fields(Submission)}
+_AMOUNT_FIELDS = ("cpus", "gpus", "memory_gb", "image_gb", "estimate_s", "checkpoint_s", "save_s")
+_NAME_FIELDS = ("job_class", "team", "image")
+_WIRE_NAMES = {field.name: field.encode_name for field in msgspec.structs.fields(Submission)}
 
 
 def is_ref(text: str) -> bool:
@@ -123,9 +123,9 @@
     return REF.match(text) is not None
 
 
-def _name(field: str, value: str) -> None:
+def _check_name(field: str, value: str) -> None:
     if not 0 < len(value) <= constants.MAX_NAME:
-        raise Invalid(f"{_WIRE[field]}: expected 1 to {constants.MAX_NAME} characters")
+        raise Invalid(f"{_WIRE_NAMES[field]}: expected 1 to {constants.MAX_NAME} characters")
 
 
 def parse_submission(body: bytes) -> Submission:
@@ -138,12 +138,12 @@
         raise Invalid(str(err)) from None
     if not is_ref(sub.ref):
         raise Invalid("ref: expected the form wk-000412")
-    for field in _NAMES:
-        _name(field, getattr(sub, field))
-    for field in _AMOUNTS:
+    for field in _NAME_FIELDS:
+        _check_name(field, getattr(sub, field))
+    for field in _AMOUNT_FIELDS:
         value = getattr(sub, field)
         if not math.isfinite(value) or not 0 <= value <= constants.MAX_AMOUNT:
-            raise Invalid(f"{_WIRE[field]}: expected a finite number of at least 0")
+            raise Invalid(f"{_WIRE_NAMES[field]}: expected a finite number of at least 0")
     if sub.due_s is not None and not (math.isfinite(sub.due_s) and 0 <= sub.due_s <= constants.MAX_AMOUNT):
         raise Invalid("dueS: expected a finite number of at least 0, or null")
     if not 1 <= sub.tasks <= constants.MAX_PIECES:
@@ -152,9 +152,9 @@
         if not 1 <= len(sub.types) <= constants.MAX_TYPES:
             raise Invalid(f"rigTypes: expected null or 1 to {constants.MAX_TYPES} names")
         for name in sub.types:
-            _name("types", name)
+            _check_name("types", name)
     if sub.zone is not None:
-        _name("zone", sub.zone)
+        _check_name("zone", sub.zone)
     return sub
 
 
--- a/winglift/wire/workers.py
+++ b/winglift/wire/workers.py
@@ -11,7 +11,7 @@
 from .. import constants
 from .users import Invalid, is_ref
 
-_NAME = re.compile(r"[A-Za-z0-9._-]{1,64}\Z")
+_MACHINE_NAME = re.compile(r"[A-Za-z0-9._-]{1,64}\Z")
 _ADDR = re.compile(r"[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}\Z")
 
 
@@ -40,7 +40,7 @@
 
 @lru_cache(maxsize=constants.TASK_NAMES_KEPT)
 def parse_task(name: str) -> tuple[str, int] | None:
-    """Job id and task number of a task's name; None if malformed. Cached: most names recur in the next report."""
+    """Job id and task number of a task name; None if malformed. Cached, since most names recur in the next report."""
     ref, _, number = name.partition("/")
     if is_ref(ref) and number.isascii() and number.isdigit() and len(number) <= 6:
         return ref, int(number)
@@ -136,7 +136,7 @@
 
 
 class Redirect(msgspec.Struct, frozen=True, omit_defaults=True, rename={"report_to": "reportsTo"}):
-    """Answer with 421: the node to report to, if one is named."""
+    """Answer with status 421: the node to report to, if one is named."""
 
     report_to: str | None = None
 
@@ -150,7 +150,7 @@
         report = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
         raise Invalid(str(err)) from None
-    if not _NAME.match(report.machine):
+    if not _MACHINE_NAME.match(report.machine):
         raise Invalid("rig: expected a machine name")
     if not _ADDR.match(report.addr):
         raise Invalid("endpoint: expected ip:port")
@@ -165,10 +165,10 @@
 
 
 def halt(task: str, attempt: int, grace_s: float) -> Command:
-    """The command that stops this attempt; it has `grace_s` s to save its state."""
+    """The command that stops this attempt, giving it `grace_s` seconds to save its state."""
     return Command("halt", task, attempt, grace_s)
 
 
 def reap(task: str, attempt: int) -> Command:
-    """The command that makes the worker forget an ended attempt."""
+    """The command that makes the worker drop an ended attempt from its reports."""
     return Command("reap", task, attempt)
