--- a/winglift/cluster/peer_connections.py
+++ b/winglift/cluster/peer_connections.py
@@ -149,7 +149,7 @@
                 status, answer = self._on_forwarded_report(body)
             except Exception:
                 # An error in handling one report must not close the connection that carries all other reports.
-                log.exception("forwarded report: error in handling it")
+                log.exception("forwarded report: fault in handling it")
                 status, answer = 503, b"{}"
             self._send_answer(stream, header, status, answer)
 
@@ -305,9 +305,8 @@
         if peer.stream is None or peer.stream.closed():
             on_answer(None)
             return
-        self._last_request_number = (
-            self._last_request_number % (2**32 - 1) + 1
-        )  # never 0: that number requests no answer
+        # Never 0: a frame with that number expects no answer.
+        self._last_request_number = self._last_request_number % (2**32 - 1) + 1
         number = self._last_request_number
         peer.pending_requests[number] = PendingRequest(monotonic_time() + constants.FORWARD_TIMEOUT_S, on_answer)
         try:
--- a/winglift/store/batcher.py
+++ b/winglift/store/batcher.py
@@ -139,7 +139,7 @@
         return len(batch)
 
     def _take_batch(self, due: list[Job], max_records: int) -> list[_RecordWrite]:
-        """Remove the first jobs from `due`, up to `max_records` records and MAX_TXN bytes but at least one."""
+        """Remove the first jobs from `due`, up to `max_records` records and MAX_TXN_BYTES but at least one."""
         batch: list[_RecordWrite] = []
         batch_bytes = 0
         while due and len(batch) < max_records:
