--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -82,9 +82,9 @@
         "urgency": user_messages.Priority,
         "status of a job": user_messages.JobStatus,
         "status of a piece": worker_messages.Phase,
-        "exit cause": worker_messages.Why,
+        "exit cause": worker_messages.ExitReason,
         "state of a workflow": flow_messages.FlowState,
-        "end of a step": flow_messages.How,
+        "end of a step": flow_messages.StepOutcome,
         "state of a job record": JobState,
         "frame": peer_messages.FrameType,
     }
@@ -93,7 +93,7 @@
 def other_values() -> dict[str, Any]:
     """Keys, names and forms that are no messages of their own."""
     image_pages = image_cache_record.pack({"vm-000407": {"lens-7": 3.5, "fit-1": 0.125}}, 4096)
-    condition, put = records.record_change("wk-000412", 3, JobState.CANCELLED, examples.JOB_RECORD)
+    condition, put = records.build_record_write("wk-000412", 3, JobState.CANCELLED, examples.JOB_RECORD)
     return {
         "key: leader": records.LEADER_KEY,
         "key: term": records.TERM_KEY,
@@ -108,12 +108,12 @@
         "new job record": records.encode(records.new_record(examples.SUBMISSION, 1000.25)).decode(),
         "ranges": records.pack_ranges([7, 0, 1, 2, 3]),
         "done": records.pack_done(records.unpack_done(12, 2, "Cg==")),
-        "upload": flow_messages.UPLOAD,
-        "task folder": flow_messages.BASE,
-        "forms": [user_messages.REF.pattern, flow_messages.FLOW.pattern, flow_messages.DIGEST.pattern],
+        "upload": flow_messages.UPLOAD_PREFIX,
+        "task folder": flow_messages.TASK_DIR,
+        "forms": [user_messages.JOB_REF.pattern, flow_messages.FLOW_REF.pattern, flow_messages.DIGEST.pattern],
         "frame magic": peer_messages.MAGIC,
         "frame limit": peer_messages.MAX_FRAME,
-        "report path": report_fast_path.REPORT,
+        "report path": report_fast_path.REPORT_PATH,
         "script numbers": script.NUMBERS,
         "script hooks": sorted(script.HOOKS),
         **{f"enum: {name}": [member.value for member in kind] for name, kind in enums().items()},
@@ -206,7 +206,7 @@
     assert worker_messages.parse_report(written["workers: report"]) == JSON["workers: report"]
     assert cloud_messages.machine_type(msgspec.Raw(written["cloud: rig type"])) == JSON["cloud: rig type"]
     assert flow_messages.parse_submission(written["flows: POST /flows"]) == JSON["flows: POST /flows"]
-    assert flow_messages.plans.decode(written["flows: plan"]) == JSON["flows: plan"]
+    assert flow_messages.plan_decoder.decode(written["flows: plan"]) == JSON["flows: plan"]
     assert records.decode(written["record: job"]) == JSON["record: job"]
     assert duty.decode(written["record: duty"]) == JSON["record: duty"]
     assert flow_records.decode_head(written["record: flow head"]) == JSON["record: flow head"]
@@ -249,8 +249,8 @@
     numbers = {"idle_keep_s": 12.5, "slack_pad": 2.25, "reserve_deviations": 3.5, "move_loss_share": 0.0625}
     assert {name: found.number(name) for name in script.NUMBERS} == numbers
     assert set(found.hooks) == {"reserve", "estimate_s"} == set(script.HOOKS)
-    assert found.ask("reserve", 4.0, "lens-render", 4) == 11.0
-    assert found.ask("estimate_s", 5.0, "lens-render", 10.0, 5.0) == 25.0
+    assert found.call_hook("reserve", 4.0, "lens-render", 4) == 11.0
+    assert found.call_hook("estimate_s", 5.0, "lens-render", 10.0, 5.0) == 25.0
 
 
 def test_the_routes_of_users_are_known():
--- a/winglift/cluster/peer_connections.py
+++ b/winglift/cluster/peer_connections.py
@@ -236,7 +236,7 @@
     async def _use_connection(self, peer: Peer, stream: Stream) -> None:
         """Send a heartbeat every PEER_STATE_INTERVAL_S and read answers, until the stream is closed.
 
-        Raises TimeoutError if a heartbeat can't be written within PEER_WRITE_S, and StreamClosedError.
+        Raises TimeoutError if a heartbeat can't be written within PEER_WRITE_TIMEOUT_S, and StreamClosedError.
         """
         stream.set_nodelay(True)
         peer.stream, peer.acknowledges_records = stream, False
--- a/winglift/store/client.py
+++ b/winglift/store/client.py
@@ -128,7 +128,7 @@
     # -- health --------------------------------------------------------------------------------
 
     def health(self) -> Health:
-        """GOOD until a request fails, DOWN once all have failed for STATE_DOWN_AFTER_S."""
+        """GOOD until a request fails, DOWN once all have failed for STATE_DOWN_TIMEOUT_S."""
         if self._failing_since is None:
             return Health.GOOD
         if monotonic_time() - self._failing_since < constants.STATE_DOWN_TIMEOUT_S:
@@ -145,7 +145,7 @@
             self._failing_since = now
 
     def _check_circuit(self) -> None:
-        """Circuit breaker: while the service is down, let one request per STATE_PROBE_S through as a probe.
+        """Circuit breaker: while the service is down, let one request per STATE_PROBE_INTERVAL_S through as a probe.
 
         The others are rejected at once, so that users' connections don't pile up waiting for a service that does not
         answer.
