--- a/tests/test_finals.py
+++ b/tests/test_finals.py
@@ -143,8 +143,8 @@
 
 def test_final_state_is_kept_without_caches(monkeypatch):
     """Caches of final states can hide a wrong record. Here they are disabled, so each answer comes from the record."""
-    monkeypatch.setattr("winglift.constants.FINAL_STATES_CACHED", 0)
-    monkeypatch.setattr("winglift.constants.READ_CACHE_RECORDS", 1)
+    monkeypatch.setattr("winglift.constants.FINAL_STATE_CACHE_MAX", 0)
+    monkeypatch.setattr("winglift.constants.READ_CACHE_RECORDS_MAX", 1)
     for write, fault in itertools.product(WRITES, ("", "the leader ends", "all end")):
         assert not Scenario(write, fault, 0.05, 0.5).broken, (write, fault)
 
@@ -239,7 +239,7 @@
 # -- the guards are necessary ------------------------------------------------------------------
 
 
-def test_record_change_refuses_to_replace_a_final_state():
+def test_build_record_write_refuses_to_replace_a_final_state():
     ended = records.JobRecord(submitted_at=0.0, spec=spec(), state="c", cancelled_at=1.0)
     for recorded, state in itertools.product((JobState.DONE, JobState.CANCELLED), "odc"):
         record = msgspec.structs.replace(ended, state=state)
@@ -378,11 +378,13 @@
             lambda job, loaded: job.is_open and apply_final_state(job, loaded),
         )
         scenario = Scenario("lost", "", 0.0, 0.5)
-        assert not scenario.broken  # record_change has refused the write
+        assert not scenario.broken  # build_record_write has refused the write
         monkeypatch.setattr(records, "FinalStateViolation", type("Never", (Exception,), {}))
     original = records.build_record_write
     monkeypatch.setattr(
-        records, "record_change", lambda ref, version, recorded, record: original(ref, version, JobState.OPEN, record)
+        records,
+        "build_record_write",
+        lambda ref, version, recorded, record: original(ref, version, JobState.OPEN, record),
     )
     scenario = Scenario("lost", "", 0.0, 0.5)
     assert bool(scenario.broken) is (guard == "the record goes first")
--- a/winglift/cluster/peer.py
+++ b/winglift/cluster/peer.py
@@ -34,5 +34,5 @@
     pending_requests: dict[int, PendingRequest] = field(default_factory=dict)  # by request number, in sending order
 
     def fresh(self, now: float) -> bool:
-        """Whether its last heartbeat is younger than PEER_FRESH_S."""
+        """Whether its last heartbeat is younger than PEER_STATE_MAX_AGE_S."""
         return self.last_state is not None and now - self.last_state_at < constants.PEER_STATE_MAX_AGE_S
--- a/winglift/cluster/peer_connections.py
+++ b/winglift/cluster/peer_connections.py
@@ -96,7 +96,7 @@
         return all(peer.fresh(now) for peer in self.by_node.values())
 
     def reachable_in_zone(self, zone: str, now: float) -> str | None:
-        """The first node of a zone, by name, whose heartbeats have had no gap for PEER_REACHABLE_S; None if none."""
+        """The first node of a zone, by name, with no gap in its heartbeats for PEER_REACHABLE_MIN_S, or None."""
         names = [
             peer.seed.node
             for peer in self.by_node.values()
--- a/winglift/store/batcher.py
+++ b/winglift/store/batcher.py
@@ -77,11 +77,11 @@
         self.max_value_bytes = int(limits.value_kb * 1024)
 
     def fits(self, job: Job) -> bool:
-        """Whether the job's record fits into one value of the state service, leaving RECORD_SPARE_BYTES free."""
+        """Whether the job's record fits into one value of the state service, leaving RECORD_HEADROOM_BYTES free."""
         return len(msgspec.json.encode(build_job_record(job))) <= self.max_value_bytes - constants.RECORD_HEADROOM_BYTES
 
     def flush(self) -> None:
-        """Start as many transactions as pending changes, COMMIT_PARALLEL and write budget allow, urgent changes first.
+        """Start as many transactions as the budget allows, up to CONCURRENT_TRANSACTIONS_MAX, urgent changes first.
 
         Progress is written only with the budget that starts and ends leave over: when each ended task cost one write,
         arrays used up the whole write rate, and starts queued behind them.
@@ -102,7 +102,7 @@
             self.schedule_flush()
 
     def schedule_flush(self) -> None:
-        """Schedule a flush in FLUSH_AGAIN_S, instead of waiting for the next planning cycle."""
+        """Schedule a flush in FLUSH_RETRY_DELAY_S, instead of waiting for the next planning cycle."""
         if self._timer is None and not self.fence_lost:
             self._timer = asyncio.get_running_loop().call_later(constants.FLUSH_RETRY_DELAY_S, self.flush)
 
@@ -117,7 +117,7 @@
         spare = available - len(due) - int(self.limits.write_rps * constants.PROGRESS_SPARE_WRITES_SHARE)
         delayed = [job for job in deferrable if now - waiting[job.ref] >= constants.PROGRESS_WRITE_DELAY_S]
         delayed.sort(key=lambda job: waiting[job.ref])
-        # A change that has waited for PROGRESS_DELAY_MAX_S is due like a start, even if no budget is left over.
+        # A change that has waited for PROGRESS_WRITE_DELAY_MAX_S is due like a start, even if no budget is left over.
         overdue = sum(now - waiting[job.ref] >= constants.PROGRESS_WRITE_DELAY_MAX_S for job in delayed)
         return due + delayed[: max(overdue, spare)], bool(waiting)
 
--- a/winglift/wire/cloud.py
+++ b/winglift/wire/cloud.py
@@ -105,7 +105,7 @@
         "age_s": "ageS",
     },
 ):
-    """One machine in a Listing; `age_s` is its age in seconds."""
+    """One machine in a MachineListing; `age_s` is its age in seconds."""
 
     name: str
     addr: str = ""
--- a/winglift/wire/flows.py
+++ b/winglift/wire/flows.py
@@ -235,7 +235,7 @@
 
 
 class InputFile(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A file to create at `path` (below BASE) before the command starts; a directory if `digest` is None."""
+    """A file to create at `path` (below TASK_DIR) before the command starts; a directory if `digest` is None."""
 
     path: str
     digest: str | None = None
@@ -296,7 +296,7 @@
 
 
 def parse_submission(body: bytes) -> FlowSubmission:
-    """Decode and check a submission. Raises Invalid that names the field."""
+    """Decode and check a submission. Raises InvalidMessage that names the field."""
     try:
         sub = submission_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
@@ -316,7 +316,7 @@
 
 
 def parse_plan(body: bytes) -> Plan:
-    """Decode a plan and check the references between its processes and steps. Raises Invalid that names the place."""
+    """Decode a plan and check its references between processes and steps. Raises InvalidMessage naming the place."""
     try:
         plan = plan_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
--- a/winglift/wire/state.py
+++ b/winglift/wire/state.py
@@ -49,7 +49,7 @@
     """Body of POST /commit."""
 
     conditions: list[Condition]
-    changes: list[Any]  # Put and Drop
+    changes: list[Any]  # Put and Delete
 
 
 class Committed(msgspec.Struct, frozen=True, rename={"revision": "ledgerRev"}):
--- a/winglift/wire/users.py
+++ b/winglift/wire/users.py
@@ -129,7 +129,7 @@
 
 
 def parse_submission(body: bytes) -> Submission:
-    """Decode and check a submission. Raises Invalid that names the field."""
+    """Decode and check a submission. Raises InvalidMessage that names the field."""
     if len(body) > constants.REQUEST_BODY_MAX_BYTES:
         raise InvalidMessage("body: more than 64 KiB")
     try:
--- a/winglift/wire/workers.py
+++ b/winglift/wire/workers.py
@@ -145,7 +145,7 @@
 
 
 def parse_report(body: bytes) -> Report:
-    """Decode and check a report. Raises Invalid that names the field."""
+    """Decode and check a report. Raises InvalidMessage that names the field."""
     try:
         report = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
