--- a/winglift/store/client.py
+++ b/winglift/store/client.py
@@ -159,7 +159,7 @@
     async def _wait_for_budget(self, budget: TokenBucket, amount: float, max_wait: float) -> None:
         wait = budget.reserve(monotonic_time(), amount, max_wait)
         if wait is None:
-            raise RequestRejected("rate budget for the state service is used up")
+            raise RequestRejected("budget of the state service used up")
         if wait > 0:
             await asyncio.sleep(wait)
 
--- a/winglift/store/read_cache.py
+++ b/winglift/store/read_cache.py
@@ -72,13 +72,13 @@
             # If this process was paused after the refresh was sent, the cached state may be stale: another node may
             # have given the user a newer answer meanwhile.
             if monotonic_time() - self._fresh_as_of > constants.REFRESH_MAX_AGE_S:
-                raise RequestRejected("this node was paused during the read")
+                raise RequestRejected("this node stood still")
             if cached is not None:
                 return cached[1]
         sent_at = monotonic_time()
         item = await self.state.get(records.JOB_PREFIX + ref, timeout=constants.STATUS_TIMEOUT_S)
         if monotonic_time() - sent_at > constants.STATUS_TIMEOUT_S + constants.REFRESH_MAX_AGE_S:
-            raise RequestRejected("this node was paused during the read")
+            raise RequestRejected("this node stood still")
         return None if item is None else self.add_record(ref, item.version, records.decode(item.value))
 
     async def _await_refresh(self) -> None:
@@ -110,7 +110,7 @@
             # The missed changes are unknown, so every cached record may be stale.
             self._known.clear()
             self._revision = None
-            raise RequestRejected("the state service no longer keeps the requested changes") from None
+            raise RequestRejected("the changes asked for are no longer kept") from None
         self._apply_changes(changes)
         self._fresh_as_of = max(self._fresh_as_of, sent_at)
 
