--- a/winglift/model/boot_tracker.py
+++ b/winglift/model/boot_tracker.py
@@ -1,8 +1,8 @@
 """Detection of overdue boots and of capacity pools (machine type and zone) whose new machines fail to boot.
 
-Guards against counting on capacity that does not come: of one zone's new machines some came up long after the others,
-and some never. Each of them counted as ready within a second until it was deleted, and all waiting tasks were planned
-onto it. All times are steady times in s.
+Keeps the planner from counting on capacity that may never arrive. In one zone some new machines booted much later than
+the others, and some never did; each was expected to be ready within a second until it was deleted, so all waiting tasks
+were planned onto it. All times are monotonic times in s.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def usual_boot_s(machine: Machine) -> float:
-    """The longest time in s that a boot of the machine's type usually takes."""
+    """Upper bound in s of the usual boot time of the machine's type."""
     return constants.BOOT_USUAL * (machine.type.boot_s if machine.type else constants.BOOT_DEFAULT_S)
 
 
@@ -32,14 +32,17 @@
 
 @dataclass
 class BootTracker:
-    """Tracks failing capacity pools: failing from two overdue machines on, until one rented later boots in time."""
+    """Tracks failing capacity pools.
+
+    A pool fails once FAILING_POOL_MACHINES of its machines are overdue, and until a machine rented later boots in time.
+    """
 
     failing_since: dict[CapacityPool, float] = field(default_factory=dict)
-    # rental time of the latest rented machine that booted in time
+    # Of the machines that booted in time: when the most recently rented one was rented.
     _latest_timely_rental: dict[CapacityPool, float] = field(default_factory=dict)
 
     def boot_completed(self, machine: Machine, now: float) -> bool:
-        """Take in a machine's first report. True if it shows that the machine's failing pool has recovered."""
+        """Record a machine's first report; return whether it shows that the machine's pool has recovered."""
         pool = machine.type_name, machine.zone
         if now - machine.rented_at > usual_boot_s(machine):
             return False
@@ -53,12 +56,12 @@
         return False
 
     def detect_failing_pools(self, machines: Iterable[Machine], now: float) -> set[CapacityPool]:
-        """Mark and return the pools that have been found failing since the last call."""
+        """Mark the pools that fail now but did not at the last call, and return them."""
         overdue: dict[CapacityPool, int] = {}
         for machine in machines:
             if boot_overdue(machine, now):
                 pool = machine.type_name, machine.zone
-                # Rented no later than one that booted in time: the machine alone is at fault, not the pool.
+                # If a machine rented at the same time or later booted in time, this machine is at fault, not the pool.
                 if machine.rented_at > self._latest_timely_rental.get(pool, -math.inf):
                     overdue[pool] = overdue.get(pool, 0) + 1
         failing = {
@@ -71,34 +74,40 @@
         return failing
 
     def all_pools_failing(self, types: Iterable[MachineType]) -> bool:
-        """Whether all pools fail: then none is better, and an overdue machine is likelier to boot than new ones."""
+        """Whether all pools fail.
+
+        In that case renting elsewhere does not help, and an overdue machine is likelier to boot than a new one.
+        """
         return all((t.name, zone) in self.failing_since for t in types for zone in t.zones)
 
     def boot_timeout_s(self, machine: Machine, types: Iterable[MachineType]) -> float:
         """The time in s after its rental at which a machine that has not booted is deleted.
 
-        With all pools failing, late machines can't be told from those that never boot: half of them are kept longer.
+        With all pools failing, machines that boot late can't be told apart from those that never boot, so half of them
+        are kept longer.
         """
-        boot = machine.type.boot_s if machine.type else constants.BOOT_DEFAULT_S
-        longer = self.all_pools_failing(types) and crc32(machine.name.encode()) % 2
+        boot_s = machine.type.boot_s if machine.type else constants.BOOT_DEFAULT_S
+        keep_longer = self.all_pools_failing(types) and crc32(machine.name.encode()) % 2
         return max(
-            constants.FIRST_PAID_S, boot * (constants.BOOT_TIMEOUT_FAILING if longer else constants.BOOT_TIMEOUT)
+            constants.FIRST_PAID_S,
+            boot_s * (constants.BOOT_TIMEOUT_FAILING if keep_longer else constants.BOOT_TIMEOUT),
         )
 
     def is_expected(self, machine: Machine, types: Iterable[MachineType], now: float) -> bool:
-        """Whether tasks may be planned onto this booting machine: not if overdue, where another would be ready sooner.
+        """Whether tasks may be planned onto this booting machine.
 
-        With all pools failing, replacing every overdue machine filled the cloud's capacity with machines that did not
-        boot, and services found none: 0.981 of their replica time instead of 0.9997.
+        An overdue machine does not count, as a new one would be ready sooner, unless all pools fail. In that case
+        replacing every overdue machine once filled the cloud's capacity with machines that did not boot, and services
+        got 0.981 of their replica time instead of 0.9997.
         """
         return not boot_overdue(machine, now) or self.all_pools_failing(types)
 
     def probe_allowance(
         self, types: Iterable[MachineType], machines: Iterable[Machine], requested: Iterable[CapacityPool], now: float
     ) -> dict[CapacityPool, int]:
-        """How many machines may be rented in each failing pool now: a few probes show whether it has recovered.
+        """The number of machines that may be rented in each failing pool now, to detect its recovery.
 
-        `requested`: the pools of the rental requests that are under way.
+        `requested`: the pools of the rental requests that are in progress.
         """
         if not self.failing_since or self.all_pools_failing(types):
             return {}
--- a/winglift/model/cancellations.py
+++ b/winglift/model/cancellations.py
@@ -1,8 +1,9 @@
-"""Cancellations that a node enforces until all their tasks are proven off (invariant 8: whichever node leads).
+"""Committed cancellations, which a node enforces until all their tasks are proven to have left their machines.
 
-The record of a cancelled job names every machine that can ever hold one of its tasks, since no later start can be
-committed (invariants 2, 4). So each node that knows the record can enforce the cancellation, leader or not. Does no
-I/O. Times are steady times in s unless stated.
+Invariant 8: a cancelled job's tasks are stopped in time, whichever node leads. The record of a cancelled job names
+every machine that can ever hold one of its tasks, because no later start can be committed (invariant 2: a start is sent
+only after its commit; invariant 4: a recorded final state is never replaced). So each node that knows the record can
+enforce the cancellation, whether it leads or not. Does no I/O. Times are monotonic times in s unless stated otherwise.
 """
 
 from __future__ import annotations
@@ -19,18 +20,18 @@
 class CancellationState(Enum):
     """Who enforces a committed cancellation."""
 
-    OUTSTANDING = auto()  # this node: no other is known to enforce it
-    DELEGATED = auto()  # a leader that is able to act, for as long as it can be reached
-    CONFIRMED = auto()  # all its tasks are proven off
+    OUTSTANDING = auto()  # this node, as no other node is known to enforce it
+    DELEGATED = auto()  # a reachable leader that is able to act
+    CONFIRMED = auto()  # no node: all its tasks are proven to have left their machines
 
 
 class CancellationEvent(Enum):
-    """The events of a cancellation's state machine."""
+    """Events that change a cancellation's state."""
 
     DELEGATE = auto()  # a leader that is able to act enforces it
     DELEGATE_LOST = auto()  # no node that enforces it can be reached any more
-    PROVEN_OFF = auto()  # all its machines are proven free of its tasks, or deleted
-    TASK_SEEN = auto()  # a machine reports a task of it
+    PROVEN_OFF = auto()  # each of its machines is deleted or proven to hold none of its tasks
+    TASK_SEEN = auto()  # a machine reports one of its tasks
 
 
 _S, _E = CancellationState, CancellationEvent
@@ -49,60 +50,67 @@
 
 @dataclass(slots=True, eq=False)
 class Cancellation:
-    """A committed cancellation, and the machines that may hold tasks of its job."""
+    """A committed cancellation and the machines that may hold tasks of its job."""
 
     ref: str
     version: int
-    record: bytes  # as sent to other nodes
-    cancelled_at: float | None  # time of day, by the node that committed it
-    noted_at: float  # when this node learned of it
-    stop_commands: dict[str, list[worker_messages.Command]]  # by machine that may hold tasks
+    record: bytes  # the encoded record, as sent to other nodes
+    cancelled_at: float | None  # time of day at which the node that committed it read its clock
+    learned_at: float  # when this node learned of it
+    stop_commands: dict[str, list[worker_messages.Command]]  # key: each machine that may hold tasks of the job
     state_since: float  # when its state last changed
     state: CancellationState = CancellationState.OUTSTANDING
-    notified: dict[str, float] = field(default_factory=dict)  # node: when it is notified again; inf: it has the record
-    delegated_to: tuple[str, int] | None = None  # the leader that enforces it: node and term
+    notified: dict[str, float] = field(default_factory=dict)  # node: time of the next notification; inf: acknowledged
+    delegated_to: tuple[str, int] | None = None  # node and term of the leader that enforces it
 
     def move(self, event: CancellationEvent, now: float) -> CancellationState:
-        """Apply an event; one that the state does not allow changes nothing. The state is changed nowhere else."""
-        new = TRANSITIONS.get((self.state, event), self.state)
-        if new is not self.state:
-            self.state, self.state_since = new, now
-        return new
+        """Apply an event and return the new state; an event that the state does not allow is ignored.
+
+        The state is changed nowhere else.
+        """
+        new_state = TRANSITIONS.get((self.state, event), self.state)
+        if new_state is not self.state:
+            self.state, self.state_since = new_state, now
+        return new_state
 
     def min_age_s(self, now: float) -> float:
-        """Lower bound in s of the time since the commit, counted from when this node learned of it.
+        """Lower bound in s of the time since the commit, counted from when this node learned of the cancellation.
 
-        The time of day in the record is no such bound: it was read before the commit, and a transaction may be carried
-        out minutes after the time that it holds.
+        The time of day in the record gives no such bound: it was read before the commit, and a transaction may be
+        applied minutes later.
         """
-        return now - self.noted_at
+        return now - self.learned_at
 
     def max_age_s(self, wall: float, skew_s: float) -> float:
-        """Upper bound in s of the time since its user was answered, as in `Job.seconds_since_cancelled`."""
+        """Upper bound in s of the time since the cancellation was confirmed to its user.
+
+        `wall`: time of day; `skew_s`: largest error of a node's time of day. See `seconds_since_cancelled`.
+        """
         return seconds_since_cancelled(self.cancelled_at, wall, skew_s)
 
 
 class CancellationRegistry:
     """The cancellations that a node knows, by job.
 
-    `skew_s`: largest error of a node's time of day. `cancel_s`: time within which a cancelled job's tasks must be off
-    all machines (PROTOCOL, rule `ran_cancelled`). `most`: number of cancellations kept.
+    `skew_s`: largest error of a node's time of day. `cancel_s`: time within which a cancelled job's tasks must have
+    left all machines (PROTOCOL, rule `ran_cancelled`). `capacity`: largest number of cancellations kept.
     """
 
-    def __init__(self, skew_s: float, cancel_s: float, most: int) -> None:
+    def __init__(self, skew_s: float, cancel_s: float, capacity: int) -> None:
         self.skew_s = skew_s
         self.cancel_s = cancel_s
-        self.capacity = most
-        # A start that the leader sent before it lost its lease, or learned of the cancellation, may arrive up to this
-        # age: an earlier halt, or an earlier answer without the task, proves nothing.
+        self.capacity = capacity
+        # A start that the leader sent before it lost its lease or learned of the cancellation may still arrive up to
+        # this age of the cancellation. A halt sent earlier, or an earlier answer without the task, proves nothing.
         self.settle_s = min(constants.CANCELLATION_SETTLE_S, cancel_s * constants.CANCELLATION_SETTLE_SHARE)
         self.by_job: dict[str, Cancellation] = {}
-        self.unsent_proofs: list[tuple[str, str]] = []  # job and machine, proven here: to be sent to the other nodes
+        # job and machine of proofs made by this node that are still to be sent to the other nodes; job "": any job
+        self.unsent_proofs: list[tuple[str, str]] = []
 
     def add_record(self, ref: str, version: int, record: records.JobRecord, now: float) -> Cancellation | None:
-        """Add a record that is committed at `version`; return its cancellation if there is one to enforce.
+        """Add a record that is committed at `version`; return its cancellation.
 
-        None if the job is not cancelled, has no assignments, or the registry is full. Raises InvalidRecord.
+        Returns None if the job is not cancelled, has no assignments, or the registry is full. Raises InvalidRecord.
         """
         if record.state != JobState.CANCELLED.value:
             return None
@@ -117,7 +125,7 @@
                 ref, version, records.encode(record), record.cancelled_at, now, stop_commands, now
             )
             return cancellation
-        # The leader has removed assignments from the record: it does that by proof only.
+        # The leader removes assignments from a record only once the tasks are proven to have left their machines.
         cancellation.version, cancellation.record = version, records.encode(record)
         for machine in [m for m in cancellation.stop_commands if m not in stop_commands]:
             del cancellation.stop_commands[machine]
@@ -125,7 +133,10 @@
         return cancellation
 
     def _make_space(self) -> bool:
-        """Make space for one more; return whether there is. Drops only confirmed, then delegated ones."""
+        """Ensure space for one more cancellation and return whether there is any.
+
+        Removes a confirmed cancellation if there is one, otherwise a delegated one, and never an outstanding one.
+        """
         if len(self.by_job) < self.capacity:
             return True
         for state in (CancellationState.CONFIRMED, CancellationState.DELEGATED):
@@ -136,7 +147,7 @@
         return False
 
     def on_report(self, report: worker_messages.Report, now: float) -> list[worker_messages.Command]:
-        """The stops of cancelled tasks that any answer to this report carries, whichever node sends it."""
+        """The halt commands for cancelled tasks that the answer to this report carries, whichever node answers it."""
         commands: list[worker_messages.Command] = []
         if not self.by_job:
             return commands
@@ -147,7 +158,7 @@
                 continue
             commands.append(worker_messages.halt(task_report.task, task_report.attempt, 0))
             if report.machine not in cancellation.stop_commands:
-                # A start that was in flight: the machine no longer counts as proven free.
+                # A start that was in flight took effect: the machine is no longer proven to hold none of its tasks.
                 cancellation.stop_commands[report.machine] = []
                 cancellation.move(CancellationEvent.TASK_SEEN, now)
         return commands
@@ -155,9 +166,10 @@
     def on_probe_answer(
         self, report: worker_messages.Report, sent_at: float, now: float
     ) -> list[worker_messages.Command]:
-        """Apply the answer to a probe that this node sent at `sent_at`; return the stops of what it still lists.
+        """Apply the answer to a probe that this node sent at `sent_at`.
 
-        Tasks that it does not list are proven off the machine, unless a start could still have been in flight then.
+        Returns the halt commands for the cancelled tasks that the answer still lists. A task that it does not list is
+        proven to have left the machine, unless its start could still have been in flight at `sent_at`.
         """
         commands = self.on_report(report, now)
         listed_jobs = {command.task.partition("/")[0] for command in commands}
@@ -171,7 +183,7 @@
         return [cancellation for cancellation in self.by_job.values() if machine in cancellation.stop_commands]
 
     def clear_machine(self, ref: str, machine: str, now: float, proven_by_peer: bool = False) -> None:
-        """Apply that a machine is proven free of the job's tasks. `proven_by_peer`: another node has proven it."""
+        """Record that a machine is proven to hold no task of the job. `proven_by_peer`: another node has proven it."""
         cancellation = self.by_job.get(ref)
         if cancellation is not None and cancellation.stop_commands.pop(machine, None) is not None:
             if not proven_by_peer:
@@ -179,14 +191,14 @@
             self._confirm_if_clear(cancellation, now)
 
     def machine_deleted(self, machine: str, now: float, proven_by_peer: bool = False) -> None:
-        """Apply that a machine's deletion was answered: all that was on it is gone."""
+        """Record that the cloud has confirmed a machine's deletion, which ends all tasks on it."""
         if not proven_by_peer:
             self.unsent_proofs.append(("", machine))
         for cancellation in self.on_machine(machine):
             self.clear_machine(cancellation.ref, machine, now, proven_by_peer=True)
 
     def clear_job(self, ref: str, now: float) -> None:
-        """Apply that this node, as the leader, has proven all tasks of the job off their machines."""
+        """Record that this node, as the leader, has proven that all tasks of the job have left their machines."""
         cancellation = self.by_job.get(ref)
         if cancellation is not None:
             for machine in list(cancellation.stop_commands):
@@ -202,33 +214,34 @@
             cancellation for cancellation in self.by_job.values() if cancellation.state is CancellationState.OUTSTANDING
         ]
 
-    def machines_to_delete(self, now: float, wall: float, rank: int, hear_s: float) -> list[str]:
-        """The machines to delete for outstanding cancellations; the `rank`th node waits for those before it.
+    def machines_to_delete(self, now: float, wall: float, rank: int, probe_wait_s: float) -> list[str]:
+        """The machines to delete because outstanding cancellations may still have tasks on them.
 
-        A node that has just become responsible first probes the machines, for `hear_s`, unless the last moment at which
-        a deletion is still in time is near. `wall`: time of day.
+        `rank` is this node's position among the nodes that may delete: each waits longer than the one before it.
+        A node that has just become responsible first probes the machines for `probe_wait_s`, except shortly before the
+        deadline, when a deletion would otherwise come too late. `wall`: time of day.
         """
-        names: dict[str, None] = {}  # an ordered set
+        names: dict[str, None] = {}  # used as an ordered set
         after_s = self.cancel_s * (constants.CANCEL_DELETE_SHARE + rank * constants.CANCELLATION_RANK_SHARE)
         for cancellation in self.outstanding():
             age = cancellation.max_age_s(wall, self.skew_s)
             late = self.cancel_s * constants.CANCEL_LAST_SHARE < age < self.cancel_s * constants.CANCEL_OVER_SHARE
-            if age > after_s and (late or now - cancellation.state_since > hear_s):
+            if age > after_s and (late or now - cancellation.state_since > probe_wait_s):
                 names.update(dict.fromkeys(cancellation.stop_commands))
         return list(names)
 
     def prune(self, now: float) -> None:
-        """Drop confirmed cancellations that are so old that no start can arrive any more."""
+        """Remove confirmed cancellations that are so old that no start of their jobs can arrive any more."""
         for ref in [
             ref
             for ref, cancellation in self.by_job.items()
-            if cancellation.state is CancellationState.CONFIRMED and now - cancellation.noted_at > self.cancel_s
+            if cancellation.state is CancellationState.CONFIRMED and now - cancellation.learned_at > self.cancel_s
         ]:
             del self.by_job[ref]
 
 
 def stop_commands_for(ref: str, record: records.JobRecord) -> dict[str, list[worker_messages.Command]]:
-    """By machine, the stops of all tasks that the record assigns to it. Raises InvalidRecord."""
+    """The halt commands for all tasks that the record assigns, by machine. Raises InvalidRecord."""
     stop_commands: dict[str, list[worker_messages.Command]] = {}
     try:
         for machine, attempt, text in record.assignments:
--- a/winglift/model/cluster_state.py
+++ b/winglift/model/cluster_state.py
@@ -1,7 +1,7 @@
 """The leader's cluster state: jobs, machines and assignments, and the decisions that change them. Does no I/O.
 
-`record_application` updates it from job records, `report_reconciliation` from workers' reports. Times are steady times
-in s.
+`record_application` updates it from job records, `report_reconciliation` from workers' reports. Times are monotonic
+times in s.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class ClusterState:
-    """The cluster state of one term. Every change of an assignment is made here."""
+    """The cluster state of one term. Assignments are changed nowhere else."""
 
     def __init__(self, settings: Settings, types: dict[str, MachineType], term: int) -> None:
         self.settings = settings
@@ -35,32 +35,35 @@
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
         self.deleted_machines: dict[str, float] = {}
-        # last record version of ended jobs that have no assignments any more
+        # Version of the last record of each ended job that has no assignments any more.
         self.finished_versions: OrderedDict[str, int] = OrderedDict()
         self.quota = QuotaUsage({t.name: t for t in settings.settings.teams})
         self.runtime_ratio: dict[str, float] = {}  # job class: run time as a ratio of the estimate
-        # image caches by machine, as the leader before recorded them
+        # Image caches by machine, as the previous leader recorded them.
         self.inherited_images: dict[str, dict[str, float]] = {}
-        self.silent_since: dict[str, float] = {}  # time of the latest report of machines silent at the failover
+        # Time of the latest report of each machine that was silent at the failover.
+        self.silent_since: dict[str, float] = {}
         self.boot_tracker = BootTracker()
         self.records_current_at = -math.inf  # changes that other nodes committed before this time are known here
         self.changed = True
         self.superseded = False  # a record shows decisions of another leader
-        self.on_stop: Callable[[Task], None] = lambda task: None
-        self.on_urgent: Callable[[], None] = lambda: None  # an urgent job was added, or a replica lost
-        self.on_ending: Callable[[], None] = lambda: None  # all tasks of a job are done, which is to be recorded soon
+        self.on_stop: Callable[[Task], None] = lambda task: None  # a task's stop was requested
+        # An urgent job (one without a due time) was added, or a service lost a replica.
+        self.on_urgent: Callable[[], None] = lambda: None
+        # All tasks of a job are done, which must be recorded soon.
+        self.on_ending: Callable[[], None] = lambda: None
 
     # -- assignments ---------------------------------------------------------------------------
 
     def assign(self, task: Task) -> None:
-        """Assign a task to its machine; it counts for its team's quota from now on."""
+        """Assign a task to its machine. From now on it counts toward its team's quota."""
         task.job.active[task.index] = task
         task.machine.tasks[task.job.ref, task.index] = task
         task.machine.invalidate_usage()
         self.quota.add(task.job.spec)
 
     def transition_and_release(self, task: Task, event: TaskEvent, now: float) -> None:
-        """Apply an event that ends an assignment: the task is proven off its machine, or was never sent there."""
+        """Apply an event that ends an assignment: the task has provably left its machine, or was never sent there."""
         task.move(event, now)
         self.release(task, now)
 
@@ -84,7 +87,10 @@
         self.changed = True
 
     def forget_job(self, job: Job) -> None:
-        """Remove an ended job without assignments. A delayed older record must not bring its assignments back."""
+        """Remove an ended job without assignments.
+
+        Its version is kept for a while, so that a delayed older record can't bring its assignments back.
+        """
         self.jobs.pop(job.ref, None)
         self.finished_versions[job.ref] = job.version
         while len(self.finished_versions) > constants.FINAL_STATES_CACHED:
@@ -93,9 +99,10 @@
     # -- decisions -----------------------------------------------------------------------------
 
     def placement_violation(self, job: Job, machine: Machine, extra: dict[str, int] | None = None) -> str | None:
-        """The reason why a task of this job may not be placed there, or None. Checks every placement (invariant 5).
+        """The reason why a task of this job may not be placed on the machine, or None if it may.
 
-        `extra`: further tasks of the job per zone that are planned along with this one.
+        Every placement is checked here (invariant 5: placements respect limits and constraints). `extra`: the number
+        of other tasks of the job that the same plan places, by zone.
         """
         spec = job.spec
         if not job.is_open:
@@ -113,7 +120,7 @@
             zones[zone] = zones.get(zone, 0) + count
         if spec.one_zone and any(z != machine.zone for z, n in zones.items() if n):
             return "other zone than the rest of the job"
-        # A task on a machine of unknown zone may be in this one.
+        # Tasks on machines of unknown zone may be in this zone.
         if spec.spread and zones.get(machine.zone, 0) + zones.get("", 0) + 1 > (spec.tasks + 1) // 2:
             return "more than half of the job in one zone"
         if self.quota.tasks_allowed(spec) < 1:
@@ -121,7 +128,10 @@
         return None
 
     def propose_placement(self, job: Job, placements: Iterable[tuple[int, Machine]], now: float) -> bool:
-        """Propose assignments of a job's tasks for one attempt, for a gang all or none; return whether any was made."""
+        """Propose assignments of a job's tasks for one attempt; return whether any was made.
+
+        Invalid placements are left out; a gang with one of them gets no assignment at all.
+        """
         attempt = job.next_attempt
         proposed: list[Task] = []
         for index, machine in placements:
@@ -147,7 +157,10 @@
         return True
 
     def request_stop(self, task: Task, grace_s: float, now: float, reason: str) -> None:
-        """Request a task's stop with `grace_s` seconds for a checkpoint. One that was never sent is released."""
+        """Request a task's stop, with `grace_s` seconds for a checkpoint.
+
+        A task whose start was never sent is released at once, except in a gang.
+        """
         if task.state is TaskState.COMMITTED and task.job.kind is not Kind.GANG:
             self.transition_and_release(task, TaskEvent.MACHINE_GONE, now)
             return
@@ -164,7 +177,7 @@
             self.changed = True
 
     def request_stop_of_all(self, job: Job, now: float, reason: str, grace_s: float = 0.0) -> None:
-        """Request that all tasks of a job be stopped."""
+        """Request the stop of all tasks of a job."""
         for task in list(job.active.values()):
             if task.state is TaskState.COMMITTED:
                 self.transition_and_release(task, TaskEvent.MACHINE_GONE, now)
@@ -172,7 +185,10 @@
                 self.request_stop(task, grace_s, now, reason)
 
     def break_gang(self, job: Job, now: float, reason: str) -> None:
-        """Stop all members of a gang that lost one. It is restarted only when all of them are proven off."""
+        """Stop all members of a gang that lost one.
+
+        The gang is restarted only when all members are proven to have left their machines.
+        """
         if not job.gang_broken and job.active:
             log.debug("gang %s: broken, reason=%s", job.ref, reason)
             job.gang_broken = True
@@ -183,7 +199,7 @@
     def register_machine(
         self, name: str, type_name: str, zone: str, spot: bool, now: float, age_s: float | None
     ) -> Machine:
-        """The machine that a report or the cloud's list names, added if unknown: it is used or returned.
+        """The machine that a report or the cloud's list names. An unknown one is added, to be used or returned.
 
         `age_s`: the time since its rental, if known.
         """
@@ -205,7 +221,7 @@
     # -- machines ------------------------------------------------------------------------------
 
     def remove_machine(self, machine: Machine, now: float) -> None:
-        """Remove a machine whose deletion was answered: it and all that was on it are gone."""
+        """Remove a machine whose deletion the cloud has confirmed, and release all its tasks."""
         machine.move(MachineEvent.DELETED)
         self.deleted_machines[machine.name] = now
         for task in list(machine.tasks.values()):
@@ -219,12 +235,12 @@
         self.changed = True
 
     def estimate_s(self, job: Job) -> float:
-        """A task's expected run time in s: the owner's estimate, corrected by the ratio that its class has shown."""
+        """A task's expected run time in s: the owner's estimate, corrected by the ratio observed for its job class."""
         return job.spec.estimate_s * self.runtime_ratio.get(job.spec.job_class, 1.0)
 
 
 def zone_counts(job: Job) -> dict[str, int]:
-    """Assigned tasks of a job per zone. An unknown machine's zone is ''."""
+    """The number of assigned tasks of a job by zone. The zone of an unknown machine is ''."""
     zones: dict[str, int] = {}
     for task in job.active.values():
         zones[task.machine.zone] = zones.get(task.machine.zone, 0) + 1
--- a/winglift/model/entities.py
+++ b/winglift/model/entities.py
@@ -1,6 +1,7 @@
 """Jobs, tasks and machines of the cluster state, with references to one another.
 
-Their state machines are in `job_state`, `task_state` and `machine_state`. Times are steady times in s unless stated.
+Their state machines are in `job_state`, `task_state` and `machine_state`. Times are monotonic times in s unless stated
+otherwise.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class Assignment(NamedTuple):
-    """What a job's record says of an assigned task."""
+    """The machine and attempt that a job's record names for an assigned task."""
 
     machine: str
     attempt: int
@@ -31,37 +32,35 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A job: its committed record, and what this leader has decided since."""
+    """A job: its committed record and this leader's decisions since then."""
 
     ref: str
     spec: Submission
-    submitted_at: float  # time of day, from the node that accepted it
-    version: int = 0  # revision of the record as last known
+    submitted_at: float  # time of day, by the clock of the node that accepted it
+    version: int = 0  # latest known revision of the record
     state: JobState = JobState.OPEN
     done: CompletedTasks = field(default_factory=lambda: CompletedTasks(0))
     next_attempt: int = 1
     active: dict[int, Task] = field(default_factory=dict)
-    # of the committed record: the assignments by task number, and the state
+    # In the committed record: the assignments by task number, and the state.
     committed_assignments: dict[int, Assignment] = field(default_factory=dict)
     committed_state: JobState = JobState.OPEN
     pending_write: WritePriority = WritePriority.NONE
     write_in_flight: bool = False
-    deferred_change: tuple[int, bytes] | None = (
-        None  # version and value of a change by another node, received while a write is under way
-    )
-    retry_not_before: float = 0.0  # backoff after failures
-    failed_rounds: int = 0  # rounds of failed starts
-    failed_on: dict[str, None] = field(default_factory=dict)  # machines where a task failed, the latest last
+    # Version and value of a change by another node that was received while a write was in flight.
+    deferred_change: tuple[int, bytes] | None = None
+    retry_not_before: float = 0.0  # end of the backoff after failures
+    failed_rounds: int = 0  # rounds of failed starts; tasks that fail together are one round
+    failed_on: dict[str, None] = field(default_factory=dict)  # machines where a task failed, most recent last
     has_completed_task: bool = False
-    cancelled_at: float | None = None  # time of day, from the node that committed the cancellation
-    known_open_at: float = -math.inf  # steady time at which the job was surely not cancelled yet
-    known_open_before_write: float | None = (
-        None  # the same, noted when a change by another node was deferred for a write
-    )
-    gang_started: bool = False  # the present attempt has been seen running
+    cancelled_at: float | None = None  # time of day, by the clock of the node that committed the cancellation
+    known_open_at: float = -math.inf  # latest time at which the job was certainly not cancelled yet
+    # The same, stored when a change by another node was deferred until a write had finished.
+    known_open_before_write: float | None = None
+    gang_started: bool = False  # a task of the current attempt has been seen running
     gang_broken: bool = False
-    unplaced_since: float = math.inf  # since when it has had waiting tasks without interruption
-    queued_since: float = 0.0  # when it was first known, or when its last attempt ended
+    unplaced_since: float = math.inf  # start of the current uninterrupted period with waiting tasks
+    queued_since: float = 0.0  # when the job became known, or when its last attempt ended
 
     @property
     def kind(self) -> Kind:
@@ -70,7 +69,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it has neither ended nor completed all its tasks."""
+        """Whether the job has neither ended nor completed all its tasks."""
         return self.state is JobState.OPEN
 
     def move(self, event: JobEvent) -> JobState:
@@ -79,21 +78,21 @@
         return self.state
 
     def request_write(self, priority: WritePriority) -> None:
-        """Request a write of the job's record; of several requests the most urgent one counts."""
+        """Request a write of the job's record, at the most urgent priority requested so far."""
         self.pending_write = min(self.pending_write, priority) if self.pending_write else priority
 
-    def waiting_tasks(self, most: int) -> list[int]:
-        """Numbers of up to `most` tasks that are neither done nor assigned, lowest first."""
-        found: list[int] = []
+    def waiting_tasks(self, max_count: int) -> list[int]:
+        """Numbers of up to `max_count` tasks that are neither done nor assigned, lowest first."""
+        indices: list[int] = []
         if not self.is_open:
-            return found
+            return indices
         above, active = self.done.above, self.active
-        for index in self.done.open_window():
+        for index in self.done.startable_range():
             if index not in above and index not in active:
-                found.append(index)
-                if len(found) >= most:
+                indices.append(index)
+                if len(indices) >= max_count:
                     break
-        return found
+        return indices
 
     @property
     def has_waiting_tasks(self) -> bool:
@@ -101,17 +100,18 @@
         return self.is_open and len(self.active) + len(self.done) < self.spec.tasks
 
     def seconds_since_cancelled(self, now: float, wall: float, skew_s: float) -> float:
-        """Upper bound in s of the time since its user was answered that the job is cancelled; inf if not known.
+        """Upper bound in s of the time since the cancellation was confirmed to its user; inf if it is not known.
 
-        A successor knows it from the record, by the time of day (`wall`): each of several leaders once counted from its
-        own start, and the last one deleted the machines 12 s too late. A leader that has read the job as open since has
-        a better bound: a transaction may be applied minutes after the time that it holds.
+        A successor computes it from the time of day in the record and the current one (`wall`). When each of several
+        leaders counted from the start of its own term instead, the last one deleted the machines 12 s too late. A
+        leader that has read the job as open has a tighter bound, as a transaction may be applied minutes after the time
+        in its record.
         """
         return min(seconds_since_cancelled(self.cancelled_at, wall, skew_s), now - self.known_open_at)
 
     @property
     def grace_s(self) -> float:
-        """Seconds that its tasks are given for a checkpoint when they are stopped; 0: they write none."""
+        """Seconds that its tasks get for a checkpoint when they are stopped; 0 if they write no checkpoints."""
         return self.spec.save_s + constants.STOP_GRACE_MARGIN_S if self.spec.checkpoint_s > 0 else 0.0
 
     def unfinished_count(self) -> int:
@@ -132,8 +132,8 @@
     sent_session: int = 0
     sent_seq: int = 0
     running_since: float | None = None
-    stop_grace_s: float | None = None  # set once the task is to be stopped
-    stop_sent_at: float = 0.0  # when a stop was last sent by a direct command
+    stop_grace_s: float | None = None  # time for a checkpoint; None unless the task is to be stopped
+    stop_sent_at: float = 0.0  # when a stop was last sent as a direct command
 
     @property
     def name(self) -> str:
@@ -142,24 +142,24 @@
 
     @property
     def assignment(self) -> Assignment:
-        """Its machine and attempt, as a record names them."""
+        """Its machine and attempt, as in a record."""
         return Assignment(self.machine.name, self.attempt)
 
     def move(self, event: TaskEvent, now: float) -> TaskState:
         """Apply an event; the state is changed nowhere else. Raises InvalidTransition."""
-        new = next_state(self.state, event)
-        if new is not self.state:
-            self.state = new
+        new_state = next_state(self.state, event)
+        if new_state is not self.state:
+            self.state = new_state
             self.machine.invalidate_usage()
             self.state_since = now
-            if new is TaskState.RUNNING and self.running_since is None:
+            if new_state is TaskState.RUNNING and self.running_since is None:
                 self.running_since = now
-            elif new in (TaskState.COMMITTED, TaskState.SENT):
+            elif new_state in (TaskState.COMMITTED, TaskState.SENT):
                 self.running_since = None
-        return new
+        return new_state
 
     def mark_stopping(self, grace_s: float) -> None:
-        """Mark the task as to be stopped, with `grace_s` seconds for a checkpoint. Done nowhere else."""
+        """Mark the task as to be stopped, with `grace_s` seconds for a checkpoint. It is marked nowhere else."""
         self.stop_grace_s = grace_s
         self.machine.invalidate_usage()
 
@@ -170,7 +170,7 @@
 
     @property
     def is_running_replica(self) -> bool:
-        """Whether it is a running replica of a service that is not being stopped."""
+        """Whether it is a running replica of a service and not being stopped."""
         return not self.stopping and self.job.kind is Kind.SERVICE and self.state is TaskState.RUNNING
 
     @property
@@ -186,28 +186,27 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineUsage:
-    """Resources that a machine's tasks use, and those that are being or could be released."""
+    """Resources that a machine's tasks use, are releasing, or would release if preempted."""
 
     cpus: float
     gpus: float
     memory_gb: float
-    releasing_cpus: float  # of tasks being stopped
+    releasing_cpus: float  # this and the next two: of tasks being stopped
     releasing_gpus: float
     releasing_memory_gb: float
     stopping_by_team: dict[str, tuple[float, float]]  # team: CPUs and GPUs of tasks being stopped
     replicas: int  # running replicas of services
     preemptible_tasks: int  # tasks that may be stopped to free capacity
-    preemptible_by_rank: tuple[
-        Resources, Resources, Resources
-    ]  # their resources: of rank 0, up to rank 1, up to rank 2
-    pinned_tasks: int  # tasks that may not be stopped, replicas aside
-    images: frozenset[str]  # cached, or needed by a task
-    cached_images: frozenset[str]  # cached
-    pending_fetches: int  # images that it fetches, or will fetch once the starts arrive
+    # Resources of the preemptible tasks whose priority has rank 0, at most rank 1, and at most rank 2.
+    preemptible_by_rank: tuple[Resources, Resources, Resources]
+    pinned_tasks: int  # tasks that may not be stopped, apart from replicas
+    images: frozenset[str]  # cached or needed by a task
+    cached_images: frozenset[str]
+    pending_fetches: int  # images that the machine is fetching, or will fetch once starts that need them arrive
 
 
-class _TasksByDisposition:
-    """Sums over a machine's tasks: those being stopped, replicas, preemptible tasks and the pinned rest."""
+class _TaskSums:
+    """Counts and resources of a machine's tasks, separately for stopping, replica, preemptible and pinned tasks."""
 
     __slots__ = (
         "by_rank",
@@ -227,7 +226,7 @@
         self.by_rank: list[Resources] = [(0.0, 0.0, 0.0)] * 3
 
     def add(self, task: Task) -> None:
-        """Add one task to the sums of its kind."""
+        """Add a task to the sums of its category."""
         if task.stopping:
             self._add_stopping(task.job.spec)
         elif task.is_running_replica:
@@ -262,31 +261,33 @@
     spot: bool
     state: MachineState
     known_since: float
-    rented_at: float  # time of the rental, as well as it is known
+    rented_at: float  # time of the rental; if that is not known, when the machine became known
     addr: str = ""
     session: int = 0
     seq: int = -1
     last_heard: float | None = None  # time of its latest report
     unacknowledged_reports: int = 0  # consecutive reports that did not show the starts sent before them
     unresponsive_since: float = 0.0
-    duplicate_name_logged: bool = False  # that another machine reports under its name has been logged
+    duplicate_name_logged: bool = False  # whether it has been logged that another machine reports under its name
     probed_at: float = -math.inf  # when a probe was last sent to it
-    probe_failed_at: float = -math.inf  # when a probe was sent that it did not answer
+    probe_failed_at: float = -math.inf  # when the latest probe that it did not answer was sent
     reclaim_at: float | None = None  # when its spot reclaim notice expires
     tasks: dict[tuple[str, int], Task] = field(default_factory=dict)
-    unknown_tasks: dict[tuple[str, int], int] = field(default_factory=dict)  # tasks on it that no record names: attempt
-    images: OrderedDict[str, float] = field(default_factory=OrderedDict)
-    attributed_failures: dict[Job, int] = field(default_factory=dict)  # failed tasks since one completed there, per job
+    # Attempt of each task that runs on it without being assigned to it in any record.
+    unknown_tasks: dict[tuple[str, int], int] = field(default_factory=dict)
+    images: OrderedDict[str, float] = field(default_factory=OrderedDict)  # cached images: size in GB, latest used last
+    # Number of failed tasks per job since a task last completed on the machine.
+    attributed_failures: dict[Job, int] = field(default_factory=dict)
     idle_since: float | None = None
     drain_reason: str = ""
     _usage: MachineUsage | None = None
 
     def invalidate_usage(self) -> None:
-        """Drop the cached usage. Called by each function that changes its tasks or images, and by nothing else."""
+        """Discard the cached usage. Every function that changes the machine's tasks or images calls this."""
         self._usage = None
 
     def usage(self) -> MachineUsage:
-        """The resources in use, cached until a change: most machines don't change from one cycle to the next."""
+        """The resources in use, cached because most machines don't change from one scheduling cycle to the next."""
         if self._usage is None:
             self._usage = self._compute_usage()
         return self._usage
@@ -295,7 +296,7 @@
         cpus = gpus = memory = 0.0
         images = set(self.images)
         missing_images = set()
-        tasks = _TasksByDisposition()
+        tasks = _TaskSums()
         for task in self.tasks.values():
             spec = task.job.spec
             cpus += spec.cpus
@@ -323,12 +324,15 @@
         )
 
     def move(self, event: MachineEvent) -> MachineState:
-        """Apply an event; one that the state does not allow changes nothing. The state is changed nowhere else."""
-        new = MACHINE_TRANSITIONS.get((self.state, event))
-        if new is not None:
-            if new is not self.state:
+        """Apply an event and return the new state; an event that the state does not allow is ignored.
+
+        The state is changed nowhere else.
+        """
+        new_state = MACHINE_TRANSITIONS.get((self.state, event))
+        if new_state is not None:
+            if new_state is not self.state:
                 self.unacknowledged_reports = 0
-            self.state = new
+            self.state = new_state
         return self.state
 
     @property
@@ -337,7 +341,10 @@
         return self.state is MachineState.UP
 
     def remember_image(self, image: str, gb: float) -> None:
-        """Track the worker's image cache, which keeps the most recently used images; `gb`: the image's size."""
+        """Record the use of an image by the worker, whose cache keeps the most recently used images.
+
+        `gb`: the image's size.
+        """
         self.images[image] = gb
         self.images.move_to_end(image)
         cache_gb = self.type.cache_gb if self.type else 0.0
--- a/winglift/model/image_cache_record.py
+++ b/winglift/model/image_cache_record.py
@@ -32,19 +32,19 @@
     return crc32(machine.encode()) % constants.IMAGE_CACHE_RECORDS
 
 
-def pack(images: Mapping[str, Mapping[str, float]], most_bytes: int) -> dict[str, bytes]:
-    """Key and value of every record, of at most `most_bytes` each; the least recently used images are left out."""
+def pack(images: Mapping[str, Mapping[str, float]], max_bytes: int) -> dict[str, bytes]:
+    """Key and value of every record, of at most `max_bytes` each; the least recently used images are left out."""
     records: dict[int, dict[str, list[tuple[str, float]]]] = defaultdict(dict)
     for machine in sorted(images):
         records[record_number(machine)][machine] = list(images[machine].items())
     values = {}
     for number, held in records.items():
         value = _encode(held)
-        while len(value) > most_bytes and any(held.values()):
+        while len(value) > max_bytes and any(held.values()):
             longest = max(len(own) for own in held.values())
             held = {machine: own[1:] if len(own) == longest else own for machine, own in held.items()}
             value = _encode(held)
-        if len(value) <= most_bytes:
+        if len(value) <= max_bytes:
             values[f"{PREFIX}{number}"] = value
     return values
 
--- a/winglift/model/job_state.py
+++ b/winglift/model/job_state.py
@@ -75,10 +75,10 @@
             self.above.remove(self.first_open)
             self.first_open += 1
 
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether all tasks are done."""
         return self.first_open >= self.count
 
-    def open_window(self) -> range:
+    def startable_range(self) -> range:
         """The numbers of the tasks that may be started: the bitmap in the record covers just these."""
         return range(self.first_open, min(self.count, self.first_open + constants.RECORD_WINDOW))
--- a/winglift/model/quota.py
+++ b/winglift/model/quota.py
@@ -44,7 +44,7 @@
             return 0
         return tasks_within_limit(team, spec, self.used[spec.team])
 
-    def exceeded(self, name: str) -> bool:
+    def is_over_limit(self, name: str) -> bool:
         """Whether the team uses more than its limit. After a failover it may."""
         team, used = self.teams.get(name), self.used[name]
         return team is not None and (
--- a/winglift/model/task_reconciliation.py
+++ b/winglift/model/task_reconciliation.py
@@ -70,7 +70,7 @@
     # Records add up to more than a team's limit where a task was proven off and its quota given to another job, and its
     # own record did not say so yet when all nodes stopped. Such a task was once started again, 25 GPUs of 24 (invariant
     # 5).
-    over_limit = task.state is TaskState.UNKNOWN and cluster.quota.exceeded(job.spec.team)
+    over_limit = task.state is TaskState.UNKNOWN and cluster.quota.is_over_limit(job.spec.team)
     task.move(TaskEvent.ABSENT, now)
     gone = task.state is TaskState.GONE
     if gone or over_limit or task.stopping or not job.is_open or not task.machine.accepts_tasks:
@@ -110,7 +110,7 @@
     job.request_write(WritePriority.PROGRESS)
     if run_s is not None and job.spec.estimate_s > 0 and not task_report.saved:
         _update_runtime_ratio(cluster, job, run_s)
-    if job.done.complete() and job.is_open:
+    if job.done.is_complete() and job.is_open:
         job.move(JobEvent.COMPLETE)
         job.request_write(WritePriority.URGENT)
         cluster.on_ending()
--- a/winglift/model/task_state.py
+++ b/winglift/model/task_state.py
@@ -38,7 +38,7 @@
 
 
 _S, _E = TaskState, TaskEvent
-_HELD = (_S.COMMITTED, _S.SENT, _S.UNKNOWN, _S.FETCHING, _S.WAITING, _S.RUNNING, _S.SAVING)
+_ASSIGNED = (_S.COMMITTED, _S.SENT, _S.UNKNOWN, _S.FETCHING, _S.WAITING, _S.RUNNING, _S.SAVING)
 
 TRANSITIONS: dict[tuple[TaskState, TaskEvent], TaskState] = {
     (_S.PROPOSED, _E.COMMIT): _S.COMMITTED,
@@ -58,7 +58,7 @@
     (_S.EXITED, _E.SEEN_EXITED): _S.EXITED,
     (_S.EXITED, _E.MACHINE_GONE): _S.GONE,
 }
-for _state in _HELD:
+for _state in _ASSIGNED:
     TRANSITIONS[_state, _E.SEEN_FETCHING] = _S.FETCHING
     TRANSITIONS[_state, _E.SEEN_WAITING] = _S.WAITING
     TRANSITIONS[_state, _E.SEEN_RUNNING] = _S.RUNNING
