--- a/winglift/model/boot_tracker.py
+++ b/winglift/model/boot_tracker.py
@@ -34,7 +34,7 @@
 class BootTracker:
     """Tracks failing capacity pools.
 
-    A pool fails once FAILING_POOL_MACHINES of its machines are overdue, and until a machine rented later boots in time.
+    A pool fails once `FAILING_POOL_MACHINES` of its machines are overdue, until a machine rented later boots in time.
     """
 
     failing_since: dict[CapacityPool, float] = field(default_factory=dict)
--- a/winglift/model/errors.py
+++ b/winglift/model/errors.py
@@ -4,7 +4,7 @@
 
 
 class ModelError(Exception):
-    """Parent of the model's errors."""
+    """Base class of the model's errors."""
 
 
 class InvalidTransition(ModelError):
@@ -12,7 +12,7 @@
 
 
 class InvalidRecord(ModelError, ValueError):
-    """A record that this program did not write."""
+    """A record in a format that this program does not write."""
 
 
 class FinalStateViolation(ModelError):
--- a/winglift/model/failure_attribution.py
+++ b/winglift/model/failure_attribution.py
@@ -1,8 +1,8 @@
-"""Attribution of failed tasks to a faulty machine or to a faulty job, by where else either of them succeeds.
+"""Attribution of failed tasks to a faulty machine or to a faulty job, based on where else each of them succeeds.
 
-Eight tasks of one faulty array failed on one machine at once, and the machine was drained of its replicas and deleted:
-so a job counts against a machine once only, unless it has run elsewhere, and not at all once it has failed on several
-machines. All times are steady times in s.
+When eight tasks of a faulty array failed on one machine at once, the machine was drained of its replicas and deleted.
+So all failures of a job together count against a machine only once, unless the job is known to be sound, and not at all
+once the job has failed on several machines. All times are monotonic times in s.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def job_is_sound(job: Job, now: float) -> bool:
-    """Whether the job has shown that it can run: by a task that completed, or by one that has run for long."""
+    """Whether the job is known to be able to run: a task of it has completed, or has run for `SOUND_RUN_S`."""
     return job.has_completed_task or any(
         t.state is TaskState.RUNNING and t.running_since is not None and now - t.running_since >= constants.SOUND_RUN_S
         for t in job.active.values()
@@ -21,12 +21,12 @@
 
 
 def job_is_suspect(job: Job, now: float) -> bool:
-    """Whether the job is probably faulty: it is retried rarely, a task at a time, and nothing is stopped for it."""
+    """Whether the job is probably faulty. Such a job is retried rarely, one task at a time, and preempts nothing."""
     return len(job.failed_on) >= constants.SUSPECT_JOB_MACHINES and not job_is_sound(job, now)
 
 
 def machine_is_faulty(machine: Machine, now: float) -> bool:
-    """Whether enough tasks failed on the machine whose failures are not attributed to their jobs."""
+    """Whether enough failures on the machine are attributed to it rather than to the failed tasks' jobs."""
     attributed = 0
     for job, failures in machine.attributed_failures.items():
         if job_is_sound(job, now):
@@ -37,7 +37,7 @@
 
 
 def record_failure(job: Job, machine: Machine) -> None:
-    """Count a task of the job that exited with an error on the machine."""
+    """Record that a task of the job exited with an error on the machine."""
     job.failed_on[machine.name] = None
     while len(job.failed_on) > constants.AVOIDED_MACHINES_MAX:
         del job.failed_on[next(iter(job.failed_on))]
@@ -45,7 +45,10 @@
 
 
 def exonerate_jobs_on(machine: Machine, now: float) -> None:
-    """Drop the failures on a faulty machine from its jobs; a job no longer suspect may be retried at once."""
+    """Clear a faulty machine's failures from the jobs that failed there.
+
+    A job that is no longer suspect may be retried at once.
+    """
     for job in machine.attributed_failures:
         was_suspect = job_is_suspect(job, now)
         job.failed_on.pop(machine.name, None)
@@ -54,7 +57,7 @@
 
 
 def record_completion(job: Job, machine: Machine) -> None:
-    """Count a task of the job that completed on the machine: both are sound."""
+    """Record that a task of the job completed on the machine, which shows that both are sound."""
     job.has_completed_task = True
     job.failed_rounds = 0
     machine.attributed_failures.clear()
@@ -62,5 +65,5 @@
 
 def retry_delay_s(job: Job, now: float) -> float:
     """The backoff in s after the job's latest round of failures."""
-    longest_s = constants.BACKOFF_SUSPECT_S if job_is_suspect(job, now) else constants.BACKOFF_MAX_S
-    return min(longest_s, constants.BACKOFF_FIRST_S * 2 ** min(job.failed_rounds, 10))
+    max_backoff_s = constants.BACKOFF_SUSPECT_S if job_is_suspect(job, now) else constants.BACKOFF_MAX_S
+    return min(max_backoff_s, constants.BACKOFF_FIRST_S * 2 ** min(job.failed_rounds, 10))
--- a/winglift/model/leadership.py
+++ b/winglift/model/leadership.py
@@ -14,17 +14,17 @@
     FOLLOWER = auto()
     CAMPAIGNING = auto()
     LEADER = auto()  # holds the lease and has loaded the records
-    DOUBTFUL = auto()  # led, but the lease may have run out by its own clock: no decisions
+    DOUBTFUL = auto()  # held the lease, which may have expired by its own clock: no decisions
 
 
 class RoleEvent(Enum):
-    """The events of a node's role."""
+    """Events that change a node's role."""
 
     CAMPAIGN = auto()
     WON = auto()
-    LOST = auto()  # the state service says so, a worker knows a higher term, or the node resigned
+    LOST = auto()  # the state service reports another leader, a worker knows a higher term, or the node resigned
     RENEWED = auto()
-    OVERDUE = auto()
+    OVERDUE = auto()  # the lease was not renewed in time
 
 
 _R, _E = Role, RoleEvent
@@ -44,25 +44,31 @@
 
 @dataclass
 class Leadership:
-    """A node's role, term and lease. Times are steady times in s."""
+    """A node's role, term and lease. Times are monotonic times in s."""
 
     role: Role = Role.FOLLOWER
-    term: int = 0  # the term this node leads or led
-    lease: int = 0
-    revision: int = 0  # of the leader key; every leader write is conditional on it
-    valid_until: float = 0.0
+    term: int = 0  # the term in which this node leads, or last led
+    lease: int = 0  # identifier of the lease
+    revision: int = 0  # of the leadership key; every leader write is conditional on it
+    valid_until: float = 0.0  # when this node stops relying on the lease
 
     def move(self, event: RoleEvent) -> Role:
-        """Apply an event; one that the role does not allow changes nothing. The role is changed nowhere else."""
+        """Apply an event and return the new role; an event that the role does not allow is ignored.
+
+        The role is changed nowhere else.
+        """
         self.role = TRANSITIONS.get((self.role, event), self.role)
         return self.role
 
     def extend_lease(self, sent_at: float, ttl_s: float) -> None:
-        """Extend the lease by `ttl_s`, counted from when the renewal was *sent*, by a clock that may be slow."""
+        """Extend the lease by `ttl_s` from the time at which the renewal was *sent*.
+
+        Subtracts the greatest possible clock drift, as this node's clock may be slow, and a safety margin.
+        """
         self.valid_until = max(
             self.valid_until, sent_at + ttl_s * (1 - 2 * constants.CLOCK_DRIFT) - constants.LEADER_MARGIN_S
         )
 
     def entitled(self, now: float) -> bool:
-        """Whether this node may decide and send commands now (invariant 1)."""
+        """Whether this node may make decisions and send commands now (invariant 1: at most one leader acts)."""
         return self.role is Role.LEADER and now < self.valid_until
--- a/winglift/model/machine_state.py
+++ b/winglift/model/machine_state.py
@@ -1,4 +1,4 @@
-"""The state machine of a machine, as the leader knows it."""
+"""The state machine of a rented machine, as the leader knows it."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
     """A machine's states."""
 
     BOOTING = auto()  # rented, no report yet
-    UP = auto()  # reports under the present term
-    INHERITED = auto()  # known from records or the list, no report under the present term yet
-    UNRESPONSIVE = auto()  # its reports arrive, but our answers don't reach it: nothing new is placed there
-    DRAINING = auto()  # reclaim notice, faulty or to be returned: nothing new is placed there
-    DELETING = auto()  # a deletion is under way
-    GONE = auto()  # deletion answered
+    UP = auto()  # reports under the current term
+    INHERITED = auto()  # known from records or the cloud's list, no report under the current term yet
+    UNRESPONSIVE = auto()  # its reports arrive, but the answers don't reach it: nothing new is placed there
+    DRAINING = auto()  # being reclaimed, faulty or to be returned: nothing new is placed there
+    DELETING = auto()  # a deletion is in progress
+    GONE = auto()  # its deletion was confirmed
 
 
 class MachineEvent(Enum):
-    """The events of a machine's state machine."""
+    """Events that change a machine's state."""
 
     REPORT = auto()
-    COMMANDS_IGNORED = auto()  # its reports show that our answers don't reach it
-    COMMANDS_ACKNOWLEDGED = auto()  # it has answered a request, or reports a start that was sent
+    COMMANDS_IGNORED = auto()  # its reports show that the answers to them don't reach it
+    COMMANDS_ACKNOWLEDGED = auto()  # it has answered a request, or reports a task whose start was sent
     DRAIN = auto()
     DELETE = auto()
     DELETE_FAILED = auto()
@@ -45,7 +45,7 @@
     (_S.INHERITED, _E.DRAIN): _S.DRAINING,
     (_S.DRAINING, _E.DRAIN): _S.DRAINING,
     (_S.DELETING, _E.DRAIN): _S.DELETING,
-    # Without an answer a deletion may still be carried out: nothing may be placed there again.
+    # A deletion that was not answered may still be executed, so nothing may be placed there again.
     (_S.DELETING, _E.DELETE_FAILED): _S.DRAINING,
     (_S.DELETING, _E.DELETED): _S.GONE,
 }
--- a/winglift/model/record_application.py
+++ b/winglift/model/record_application.py
@@ -1,4 +1,4 @@
-"""Application of job records to the cluster state. The committed record is the truth about assignments."""
+"""Application of job records to the cluster state. The committed record is authoritative for assignments."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 def apply_record(cluster: ClusterState, ref: str, version: int, record: records.JobRecord, now: float) -> Job | None:
-    """Apply a job's record as read at `version`; return the job, or None if it ended and holds nothing.
+    """Apply a job's record as read at `version`; return the job, or None if it has ended without assignments.
 
-    The record is the truth about assignments. A version no newer than the known one changes nothing. `now` is steady
-    time in s. Raises InvalidRecord.
+    The record is authoritative for assignments. A version that is not newer than the known one changes nothing. `now`
+    is monotonic time in s. Raises InvalidRecord.
     """
     job = cluster.jobs.get(ref)
     if version <= (job.version if job is not None else cluster.finished_versions.get(ref, 0)):
@@ -29,7 +29,8 @@
     loaded = records.unpack(record)
     known = job is not None
     if job is not None and _assigned_by_other_leader(job, loaded):
-        # This state is out of date. What it holds is not written again: it keeps the version that it was read at.
+        # This state is out of date. The job keeps the version at which it was read, so that no write of its outdated
+        # assignments can succeed.
         cluster.superseded = True
         return job
     if job is None:
@@ -72,7 +73,7 @@
 
 
 def _merge_done(job: Job, loaded: records.UnpackedRecord) -> None:
-    """Merge the record's completed tasks into those that this leader has seen; none is lost."""
+    """Merge the record's completed tasks with those that this leader has seen, without losing any."""
     for index in loaded.done.above:
         job.done.add(index)
     if loaded.done.first_open > job.done.first_open:
@@ -81,7 +82,7 @@
 
 
 def _apply_assignments(cluster: ClusterState, job: Job, loaded: records.UnpackedRecord, now: float) -> None:
-    """Commit the proposals that the record names, and take over its other assignments."""
+    """Mark the proposals that the record names as committed, and take over its other assignments."""
     for index, assignment in loaded.assignments.items():
         task = job.active.get(index)
         if task is not None and task.assignment == assignment:
@@ -103,7 +104,7 @@
 
 
 def _note_cancellation(cluster: ClusterState, job: Job, loaded: records.UnpackedRecord, known: bool) -> None:
-    """Note when the job was cancelled; `known`: this leader had the job as open before."""
+    """Store when the job was cancelled. `known`: this leader knew the job as open before."""
     job.cancelled_at = loaded.cancelled_at
     if not known:
         return
@@ -114,7 +115,7 @@
 
 
 def _assigned_by_other_leader(job: Job, loaded: records.UnpackedRecord) -> bool:
-    """Whether the record assigns a task elsewhere than this state does: only another leader can have moved it."""
+    """Whether the record's assignment of a task differs from this state's, which only another leader can cause."""
     for index, assignment in loaded.assignments.items():
         task = job.active.get(index)
         if task is not None and task.state is not TaskState.PROPOSED and task.assignment != assignment:
@@ -129,14 +130,17 @@
 
 
 def _take_version(job: Job, version: int, loaded: records.UnpackedRecord) -> None:
-    """Take over a record's version, and with it all that a later write is conditional on. Done nowhere else."""
+    """Take over a record's version together with the assignments and state committed at it.
+
+    Later writes are conditional on that version. This is done nowhere else.
+    """
     job.version = version
     job.committed_assignments = loaded.assignments
     job.committed_state = loaded.state
 
 
 def _apply_final_state(job: Job, loaded: records.UnpackedRecord) -> bool:
-    """Apply a final state that is recorded, whatever this leader has seen or decided; return whether it was new."""
+    """Apply a recorded final state, whatever this leader has seen or decided; return whether the job changed."""
     if not loaded.state.is_final or job.state.is_final:
         return False
     job.move(_EVENT_OF_FINAL_STATE[loaded.state])
@@ -144,8 +148,11 @@
 
 
 def _inherit_assignment(cluster: ClusterState, job: Job, index: int, assignment: Assignment, now: float) -> None:
-    """Take over an assignment of a record: the task may run there, so it counts for its team's limit and is not started
-    elsewhere (invariant 2)."""
+    """Take over an assignment from a record.
+
+    The task may be running there, so it counts toward its team's limit and is not started elsewhere (invariant 2: a
+    task runs only where its committed record says).
+    """
     name = assignment.machine
     machine = cluster.machines.get(name)
     if machine is None:
@@ -156,12 +163,12 @@
 
 
 def apply_commit(cluster: ClusterState, job: Job, version: int, record: records.JobRecord, now: float) -> None:
-    """Apply that a write of this job's record succeeded: its starts may now be sent (invariant 2).
+    """Apply the successful write of a job's record, whose starts may now be sent (invariant 2: not before the commit).
 
     `version`: the revision of the write. Raises InvalidRecord.
     """
     loaded = records.unpack(record)
-    if version > job.version:  # otherwise its user's cancellation has been received before the write's answer
+    if version > job.version:  # otherwise the user's later cancellation was received before the answer to this write
         _take_version(job, version, loaded)
         _apply_final_state(job, loaded)
     for index, assignment in loaded.assignments.items():
--- a/winglift/model/records.py
+++ b/winglift/model/records.py
@@ -1,6 +1,6 @@
-"""Records of the state service: the leader, the term and the jobs, and how a job is packed into one value.
+"""Records in the state service: the leader, the term and the jobs, and the encoding of a job as one value.
 
-The state service: PROTOCOL, "Controller nodes -> state service".
+The state service is described in PROTOCOL, "Controller nodes -> state service".
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class TermRecord(msgspec.Struct, frozen=True):
-    """Value of the key of the latest term."""
+    """Value of the term key: the latest term."""
 
     term: int
 
@@ -52,8 +52,8 @@
 ):
     """A job's record. `assignments` groups tasks by machine and attempt: [machine, attempt, "0-3,7"].
 
-    `submitted_at` and `cancelled_at` are times of day by the node that committed them, within `skew_ms` of the true
-    one. A cancelled record without its time, from a version that did not write it, counts as cancelled long ago.
+    `submitted_at` and `cancelled_at` are times of day by the clock of the node that committed them, at most `skew_ms`
+    off. A cancelled record without `cancelled_at`, from a version that did not write it, counts as cancelled long ago.
     """
 
     submitted_at: float
@@ -70,11 +70,11 @@
 
 
 def record_change(ref: str, version: int, committed: JobState, record: JobRecord) -> tuple[Condition, Put]:
-    """Condition and put of a change of a job's record, whose state is `committed` at `version` (0: it is new).
+    """Condition and put that write a job's record, whose state is `committed` at `version` (0: there is no record yet).
 
-    Changes are made nowhere else: no transaction can be built that replaces a recorded final state by another
-    (invariant 4), and the condition lets none replace what its writer has not read. Raises FinalStateViolation, and
-    InvalidRecord for a state that no record may have.
+    All writes of job records are built here, so none can replace a recorded final state by another one (invariant 4),
+    and because of the condition none can replace a version that its writer has not read. Raises FinalStateViolation,
+    and InvalidRecord for a state that no record may have.
     """
     if committed.is_final and record.state != committed.value:
         raise FinalStateViolation(f"{ref} is recorded as {committed.name.lower()}")
@@ -84,32 +84,32 @@
 
 
 def pack_ranges(numbers: list[int]) -> str:
-    """Numbers as text of ranges: `0-3,7`."""
-    parts: list[str] = []
-    start = last = None
+    """Encode numbers as ranges in a text such as `0-3,7`."""
+    ranges: list[str] = []
+    first = last = None
     for number in sorted(numbers):
         if last is not None and number == last + 1:
             last = number
             continue
-        if start is not None:
-            parts.append(str(start) if start == last else f"{start}-{last}")
-        start = last = number
-    if start is not None:
-        parts.append(str(start) if start == last else f"{start}-{last}")
-    return ",".join(parts)
+        if first is not None:
+            ranges.append(str(first) if first == last else f"{first}-{last}")
+        first = last = number
+    if first is not None:
+        ranges.append(str(first) if first == last else f"{first}-{last}")
+    return ",".join(ranges)
 
 
 def unpack_ranges(text: str) -> list[int]:
-    """The reverse of `pack_ranges`. Raises ValueError."""
-    found: list[int] = []
+    """Decode a text encoded by `pack_ranges`. Raises ValueError."""
+    numbers: list[int] = []
     for part in text.split(","):
         first, _, last = part.partition("-")
-        found += range(int(first), int(last or first) + 1)
-    return found
+        numbers += range(int(first), int(last or first) + 1)
+    return numbers
 
 
 def pack_done(done: CompletedTasks) -> tuple[int, str]:
-    """The lowest task that is not done, and a bitmap from it on of those done above, in base 64."""
+    """The lowest task that is not done, and a base64 bitmap of the completed tasks, whose first bit stands for it."""
     if not done.above:
         return done.first_open, ""
     bits = bytearray((max(done.above) - done.first_open) // 8 + 1)
@@ -119,19 +119,19 @@
     return done.first_open, b64encode(bytes(bits)).decode()
 
 
-def unpack_done(count: int, low: int, text: str) -> CompletedTasks:
-    """The reverse of `pack_done`. Raises ValueError."""
+def unpack_done(count: int, first_open: int, bitmap: str) -> CompletedTasks:
+    """Decode completed tasks encoded by `pack_done`. Raises ValueError."""
     above = set()
-    for offset, byte in enumerate(b64decode(text)):
+    for offset, byte in enumerate(b64decode(bitmap)):
         for bit in range(8):
             if byte >> bit & 1:
-                above.add(low + offset * 8 + bit)
-    return CompletedTasks(count, low, above)
+                above.add(first_open + offset * 8 + bit)
+    return CompletedTasks(count, first_open, above)
 
 
 @dataclass(slots=True)
 class UnpackedRecord:
-    """A job record in the form of the model."""
+    """A job record, decoded into the types of the model."""
 
     spec: Submission
     submitted_at: float
@@ -142,13 +142,13 @@
     cancelled_at: float | None = None
 
 
-def new_record(spec: Submission, submitted: float) -> JobRecord:
+def new_record(spec: Submission, submitted_at: float) -> JobRecord:
     """The record of a new job."""
-    return JobRecord(submitted_at=submitted, spec=spec)
+    return JobRecord(submitted_at=submitted_at, spec=spec)
 
 
 def pack_assignments(tasks: dict[int, Task]) -> list[tuple[str, int, str]]:
-    """Assignments grouped by machine and attempt, without tasks that have exited or are proven off."""
+    """Assignments grouped by machine and attempt, without tasks that have exited or left their machines."""
     groups: dict[tuple[str, int], list[int]] = defaultdict(list)
     for number, task in tasks.items():
         if task.state not in (TaskState.GONE, TaskState.EXITED):
@@ -157,7 +157,7 @@
 
 
 def decode(value: bytes | msgspec.Raw) -> JobRecord:
-    """The record of a stored value. Raises InvalidRecord."""
+    """Decode a stored value. Raises InvalidRecord."""
     try:
         return _decoder.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
@@ -165,7 +165,7 @@
 
 
 def unpack(record: JobRecord) -> UnpackedRecord:
-    """The unpacked form of a record. Raises InvalidRecord."""
+    """Convert a record to the types of the model. Raises InvalidRecord."""
     try:
         assignments = {
             number: Assignment(name, attempt)
@@ -187,15 +187,15 @@
 
 
 def done_count(record: JobRecord) -> int:
-    """Number of tasks that are done."""
+    """The number of tasks that are done."""
     return record.first_open + sum(byte.bit_count() for byte in b64decode(record.done_bitmap))
 
 
 def assigned_count(record: JobRecord) -> int:
-    """Number of tasks that are assigned to a machine."""
+    """The number of tasks that are assigned to a machine."""
     return sum(len(unpack_ranges(text)) for _, _, text in record.assignments)
 
 
 def encode(record: JobRecord) -> bytes:
-    """The stored value of a record."""
+    """Encode a record for storage."""
     return msgspec.json.encode(record)
--- a/winglift/model/report_reconciliation.py
+++ b/winglift/model/report_reconciliation.py
@@ -1,7 +1,7 @@
 """Reconciliation of the cluster state with workers' reports, and the commands that answer them.
 
-Reports and commands: PROTOCOL, "Workers -> controller nodes". `task_reconciliation` applies what a report says of
-single tasks.
+Reports and commands are described in PROTOCOL, "Workers -> controller nodes". `task_reconciliation` applies what a
+report says about single tasks.
 """
 
 from __future__ import annotations
@@ -26,26 +26,26 @@
 def reconcile_report(
     cluster: ClusterState, report: worker_messages.Report, now: float, direct: bool = False
 ) -> list[worker_messages.Command] | None:
-    """Apply a worker's report to the cluster state; return the commands of the answer, or None for no answer.
+    """Apply a worker's report to the cluster state; return the commands for its answer, or None for no answer.
 
-    `direct`: the report is the response to a request of this node (`/commands`, `/show`), not a report of the worker's
-    own. `now` is steady time in s.
+    `direct`: the report is the response to a request by this node (`/commands`, `/show`), not one that the worker sent
+    by itself. `now` is monotonic time in s.
     """
     if report.machine in cluster.deleted_machines:
         return None
     if report.token < cluster.term and report.machine not in cluster.machines:
-        # Perhaps a copy that is minutes old, of a machine that an earlier term has deleted: it is no capacity. A
-        # machine that exists learns the term from this answer, and its next report carries it.
+        # This may be a report that was delayed by minutes, of a machine that an earlier term has deleted, so it adds no
+        # capacity. An existing machine learns the term from this answer, and its next report carries that term.
         return []
     machine = cluster.register_machine(report.machine, report.type, report.zone, report.spot, now, None)
     if (report.session, report.seq) <= (machine.session, machine.seq):
-        return None  # delayed or repeated: it must never free a task
+        return None  # a delayed or duplicated report, which must never release a task
     if _is_duplicate_name(machine, report):
         _log_duplicate_name(machine, report)
         return None
     if report.token < cluster.term:
-        # Made before this term was known there, perhaps minutes ago. It proves nothing.
-        # Answering it with no commands brings the term to the worker.
+        # Made before the worker knew this term, perhaps minutes ago: it proves nothing.
+        # An answer without commands tells the worker the term.
         return []
     new_session = report.session > machine.session
     _update_responsiveness(cluster, machine, report, new_session, now, direct)
@@ -53,8 +53,9 @@
     _complete_boot(cluster, machine, now)
     _apply_reclaim_notice(cluster, machine, report, now)
     listed, commands = _reconcile_listed_tasks(cluster, machine, report, now)
-    # A response of /commands may have been made while our answer to a report was under way, so only a report shows that
-    # a start did not take effect. But a new session has nothing of the one before it, and drops answers to its reports.
+    # A response to /commands may have been made while the answer to a report was in flight, so only a report shows that
+    # a start did not take effect. A new session, however, has no tasks of the session before it and discards answers to
+    # that session's reports.
     if not direct or new_session:
         _reconcile_absent_tasks(cluster, machine, report, listed, now, direct)
     commands += _commands_for_exited_tasks(cluster, machine, report)
@@ -62,9 +63,9 @@
 
 
 def _is_duplicate_name(machine: Machine, report: worker_messages.Report) -> bool:
-    """Whether a second worker reports under the machine's name, from another address within the same session.
+    """Whether a second worker reports under the machine's name: from another address within the same session.
 
-    Its task list says nothing about the first worker's tasks, so only the first one's reports are accepted.
+    The second worker's task list says nothing about the first worker's tasks, so only the first one's reports count.
     """
     return machine.seq >= 0 and report.session == machine.session and report.addr != machine.addr
 
@@ -89,27 +90,27 @@
     now: float,
     direct: bool,
 ) -> None:
-    """Update whether the node's commands reach the machine, before the report's session is taken over."""
+    """Update whether this node's commands reach the machine; must run before the report's session is taken over."""
     if not direct:
         _check_commands_acknowledged(cluster, machine, report, new_session, now)
     elif machine.state is MachineState.UNRESPONSIVE:
-        machine.move(MachineEvent.COMMANDS_ACKNOWLEDGED)  # it has answered a request
+        machine.move(MachineEvent.COMMANDS_ACKNOWLEDGED)  # it has answered a request of this node
         log.info("machine %s: responsive again", machine.name)
         cluster.changed = True
 
 
 def _update_contact(machine: Machine, report: worker_messages.Report, now: float, direct: bool) -> None:
-    """Take over the report's session, sequence number and address, and the time of the latest report."""
+    """Store the report's session, sequence number and address, and the time of the latest report."""
     machine.session, machine.seq = report.session, report.seq
     if not direct or machine.last_heard is None:
-        # A machine that answers requests and reaches no node gets no starts, and nothing renews its lease: it counts as
-        # silent. Its answers once made it look sound: replicas were missed until it reached a node again.
+        # A machine that answers requests but reaches no node gets no starts, and nothing renews its lease, so it counts
+        # as silent. When its answers counted as contact, its replicas were not replaced until it reached a node again.
         machine.last_heard = now
     machine.addr = report.addr
 
 
 def _complete_boot(cluster: ClusterState, machine: Machine, now: float) -> None:
-    """Move a machine to UP on its first report under this term."""
+    """Mark a machine as UP on its first report under this term."""
     if machine.state not in (MachineState.BOOTING, MachineState.INHERITED):
         return
     if machine.state is MachineState.BOOTING and cluster.boot_tracker.boot_completed(machine, now):
@@ -135,7 +136,10 @@
 def _reconcile_listed_tasks(
     cluster: ClusterState, machine: Machine, report: worker_messages.Report, now: float
 ) -> tuple[dict[TaskKey, worker_messages.TaskReport], list[worker_messages.Command]]:
-    """Apply the tasks that a report lists; return those that are assigned there, and stops for those that are not."""
+    """Apply the tasks that a report lists.
+
+    Returns the listed tasks that are assigned to the machine, and halt commands for those that are not.
+    """
     listed: dict[TaskKey, worker_messages.TaskReport] = {}
     commands: list[worker_messages.Command] = []
     machine.unknown_tasks.clear()
@@ -148,7 +152,7 @@
             listed[key] = task_report
             task_reconciliation.apply_task_report(cluster, task, task_report, now)
         elif task_report.phase is not worker_messages.Phase.EXITED:
-            # In no record: no node was allowed to start it. It is stopped, and uses capacity until then.
+            # The task is in no record, so no node was allowed to start it. It uses capacity until it is stopped.
             machine.unknown_tasks[key] = task_report.attempt
             log.warning(
                 "machine %s: task in no record, task=%s attempt=%d",
@@ -170,7 +174,7 @@
 ) -> None:
     """Apply the absence of the machine's tasks that a report does not list."""
     for key, task in list(machine.tasks.items()):
-        # A gang that breaks releases its unsent members, on this machine too: those are gone already.
+        # When a gang breaks in this loop, its unsent members on this machine are released and in state GONE already.
         if (
             key not in listed
             and task.state not in (TaskState.PROPOSED, TaskState.GONE)
@@ -182,7 +186,7 @@
 def _commands_for_exited_tasks(
     cluster: ClusterState, machine: Machine, report: worker_messages.Report
 ) -> list[worker_messages.Command]:
-    """The `reap` commands for the exited tasks of a report whose exits are recorded."""
+    """The `reap` commands for the exited tasks in a report whose exits are recorded."""
     commands: list[worker_messages.Command] = []
     for task_report in report.tasks:
         key = task_report.key()
@@ -198,11 +202,11 @@
 def _check_commands_acknowledged(
     cluster: ClusterState, machine: Machine, report: worker_messages.Report, new_session: bool, now: float
 ) -> None:
-    """Detect a machine whose reports arrive but which our answers do not reach.
+    """Detect a machine whose reports arrive but which the answers to them do not reach.
 
-    Judged by what its reports show, never by a single lost answer. A worker's lease runs from its last answered report.
-    If it ended although reports had come all the while, they were answered in vain; and what is sent in answers shows
-    in the next report, or the answer was lost.
+    Judged by the machine's reports, never by a single lost answer. A worker's lease runs from its last answered report,
+    so if it expired while reports kept arriving, none of the answers reached the worker. A start that was sent in an
+    answer shows in the next report unless that answer was lost.
     """
     sent = _starts_due_in_report(machine, report)
     if _shows_a_start(report, sent):
@@ -227,7 +231,7 @@
 
 
 def _starts_due_in_report(machine: Machine, report: worker_messages.Report) -> list[Task]:
-    """The tasks whose start was sent in the answer to an earlier report of this session."""
+    """The tasks whose start was sent in the answer to an earlier report of the same session."""
     return [
         task
         for task in machine.tasks.values()
@@ -238,13 +242,13 @@
 def _shows_a_start(report: worker_messages.Report, sent: list[Task]) -> bool:
     """Whether the report lists at least one of the starts that were sent."""
     if not sent:
-        return False  # few reports follow a start: for the others the task list need not be read
+        return False  # most reports follow no start; for those the task list need not be read
     listed = {task_report.key(): task_report.attempt for task_report in report.tasks}
     return any(listed.get((task.job.ref, task.index)) == task.attempt for task in sent)
 
 
 def _session_lost_while_reporting(cluster: ClusterState, machine: Machine, new_session: bool, now: float) -> bool:
-    """Whether the worker's lease expired although its reports arrived: none of their answers reached it."""
+    """Whether the worker's lease expired although its reports arrived, so that none of the answers reached it."""
     return (
         new_session
         and machine.session > 0
@@ -254,9 +258,9 @@
 
 
 def _may_remove_exited(cluster: ClusterState, key: tuple[str, int], machine: Machine, attempt: int) -> bool:
-    """Whether an exited task may be reaped: once the record no longer assigns it there (invariant 6).
+    """Whether the worker may forget an exited task: once the record no longer assigns the task to it (invariant 6).
 
-    For a finished task, that is once `done` is committed.
+    For a completed task, that is once its completion is committed.
     """
     job = cluster.jobs.get(key[0])
     if job is None:
@@ -270,9 +274,9 @@
 def due_commands(
     machine: Machine, report: worker_messages.Report, now: float, cancelled_only: bool = False
 ) -> list[worker_messages.Command]:
-    """Starts and stops due on a machine; with `cancelled_only` just the stops of cancelled tasks.
+    """The start and halt commands due on a machine; with `cancelled_only` only those that halt cancelled tasks.
 
-    Starts are sent only here, in a report's response (invariant 3).
+    Invariant 3: starts are sent nowhere else than here, in the response to a report.
     """
     commands: list[worker_messages.Command] = []
     for task in list(machine.tasks.values()):
@@ -289,8 +293,9 @@
 
 
 def _of_older_session(task: Task, report: worker_messages.Report) -> bool:
-    """Whether the task was surely started in a session before the report's.
+    """Whether the task was certainly started in an earlier session than the report's.
 
-    Not known of an inherited task: the leader before may have sent its start in an answer that is still under way.
+    This is not known of an inherited task: the previous leader may have sent its start in an answer that is still in
+    flight.
     """
     return task.state in PRESENT or (task.state is TaskState.SENT and task.sent_session < report.session)
--- a/winglift/model/task_reconciliation.py
+++ b/winglift/model/task_reconciliation.py
@@ -1,4 +1,4 @@
-"""What a worker's report says of single tasks, applied to the cluster state: phases, exits and absence."""
+"""Reconciliation of single tasks with a worker's report: phases, exits and absence."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     worker_messages.Phase.SAVING: TaskEvent.SEEN_SAVING,
 }
 
-# Run time of a job class as a ratio of the owners' estimates: an exponential moving average over completed tasks, each
-# clamped to these bounds.
+# The run time of a job class as a ratio of the owners' estimates is an exponential moving average over completed tasks,
+# whose ratios are clamped to these bounds.
 _RUNTIME_RATIO_WEIGHT = 0.1
 _RUNTIME_RATIO_MIN = 0.2
 _RUNTIME_RATIO_MAX = 5.0
 
-_DELAYING_REASONS = (
+_BACKOFF_REASONS = (
     worker_messages.Why.ERROR,
     worker_messages.Why.NO_ROOM,
     worker_messages.Why.BUSY,
@@ -38,7 +38,7 @@
 
 
 def apply_task_report(cluster: ClusterState, task: Task, task_report: worker_messages.TaskReport, now: float) -> None:
-    """Apply the phase in which a report lists a task; `now` is steady time in s."""
+    """Apply the phase in which a report lists a task; `now` is monotonic time in s."""
     job, machine = task.job, task.machine
     if task_report.phase is worker_messages.Phase.EXITED:
         _apply_exit(cluster, task, task_report, now)
@@ -63,13 +63,13 @@
 
 
 def apply_absence(cluster: ClusterState, task: Task, report: worker_messages.Report, now: float) -> None:
-    """Apply that a newer report does not list the task: it is proven off the machine."""
+    """Apply the absence of a task from a newer report, which proves that it is not on the machine."""
     job = task.job
     if task.state is TaskState.SENT and report.session == task.sent_session and report.seq <= task.sent_seq:
         return
-    # Records add up to more than a team's limit where a task was proven off and its quota given to another job, and its
-    # own record did not say so yet when all nodes stopped. Such a task was once started again, 25 GPUs of 24 (invariant
-    # 5).
+    # Records may add up to more than a team's limit: a task had left its machine and its quota was given to another
+    # job, but all nodes stopped before its own record was updated. Such a task must not be started again: once that
+    # brought a team to 25 GPUs with a limit of 24 (invariant 5: no placement exceeds a limit).
     over_limit = task.state is TaskState.UNKNOWN and cluster.quota.is_over_limit(job.spec.team)
     task.move(TaskEvent.ABSENT, now)
     gone = task.state is TaskState.GONE
@@ -102,7 +102,7 @@
 def _apply_completion(
     cluster: ClusterState, task: Task, task_report: worker_messages.TaskReport, run_s: float | None, now: float
 ) -> None:
-    """A task is done; `run_s`: the seconds for which it was seen running, if it was."""
+    """Apply the completion of a task; `run_s`: the seconds for which it was seen running, if it was."""
     job, machine = task.job, task.machine
     log.debug("task %s: done, attempt=%d machine=%s", task.name, task.attempt, machine.name)
     failure_attribution.record_completion(job, machine)
@@ -122,7 +122,7 @@
 
 def _mark_done(job: Job, task: Task) -> None:
     if job.kind is Kind.GANG:
-        # They complete together: if one task is done, so are all.
+        # All tasks of a gang complete together.
         for index in range(job.spec.tasks):
             job.done.add(index)
     else:
@@ -130,10 +130,10 @@
 
 
 def _update_runtime_ratio(cluster: ClusterState, job: Job, run_s: float) -> None:
-    """Adapt the run time of the job's class, as a ratio of the owners' estimates."""
+    """Update the ratio of run time to the owner's estimate for the job's class."""
     ratio = max(_RUNTIME_RATIO_MIN, min(_RUNTIME_RATIO_MAX, run_s / job.spec.estimate_s))
-    old = cluster.runtime_ratio.get(job.spec.job_class, 1.0)
-    cluster.runtime_ratio[job.spec.job_class] = old + _RUNTIME_RATIO_WEIGHT * (ratio - old)
+    average = cluster.runtime_ratio.get(job.spec.job_class, 1.0)
+    cluster.runtime_ratio[job.spec.job_class] = average + _RUNTIME_RATIO_WEIGHT * (ratio - average)
 
 
 def _apply_failure(cluster: ClusterState, task: Task, exit_reason: str, now: float) -> None:
@@ -141,9 +141,9 @@
     log.debug("task %s: exited, attempt=%d machine=%s reason=%s", task.name, task.attempt, machine.name, exit_reason)
     if exit_reason == worker_messages.Why.ERROR:
         _attribute_failure(cluster, job, machine, now)
-    if exit_reason in _DELAYING_REASONS:
+    if exit_reason in _BACKOFF_REASONS:
         if now >= job.retry_not_before:
-            # Tasks that fail together are one round: eight at once had led to the longest backoff.
+            # Tasks that fail together count as one round; otherwise eight of them led to the longest backoff at once.
             job.failed_rounds += 1
         if exit_reason != worker_messages.Why.ERROR or failure_attribution.job_is_suspect(job, now):
             job.retry_not_before = max(job.retry_not_before, now + failure_attribution.retry_delay_s(job, now))
@@ -152,13 +152,13 @@
 
 
 def _attribute_failure(cluster: ClusterState, job: Job, machine: Machine, now: float) -> None:
-    """Count a failure against the job and the machine, and act on a change of either's assessment."""
+    """Record a failure of the job on the machine, and act if that makes the machine faulty or the job suspect."""
     was_suspect = failure_attribution.job_is_suspect(job, now)
     failure_attribution.record_failure(job, machine)
     _drain_if_faulty(cluster, machine, now)
     if failure_attribution.job_is_suspect(job, now) and not was_suspect:
-        # The failures so far were one round, however many tasks failed and whenever each was reported: the first
-        # backoff was often the longest, 120 s, also for a sound job that had met two faulty machines.
+        # The failures so far count as one round, however many tasks failed and whenever each was reported. Otherwise
+        # the first backoff was often the longest one, 120 s, even for a sound job that had met two faulty machines.
         job.failed_rounds = 0
         log.info("job %s: suspect, retried with backoff, failed_on=%s", job.ref, ", ".join(job.failed_on))
 
--- a/winglift/model/task_state.py
+++ b/winglift/model/task_state.py
@@ -10,23 +10,23 @@
 class TaskState(Enum):
     """The states of an assigned task."""
 
-    PROPOSED = auto()  # decided; its record is not committed yet
-    COMMITTED = auto()  # the record holds machine and attempt; the start has not been sent
-    SENT = auto()  # the start went out in a report's response; whether it took effect is open
-    UNKNOWN = auto()  # inherited from a record: it may run there, no report under this term has shown it yet
+    PROPOSED = auto()  # decided, but its record is not committed yet
+    COMMITTED = auto()  # the committed record holds its machine and attempt; its start has not been sent
+    SENT = auto()  # its start was sent in a report's response; whether that took effect is not known
+    UNKNOWN = auto()  # inherited from a record: it may be running, but no report under this term has listed it yet
     FETCHING = auto()
     WAITING = auto()
     RUNNING = auto()
     SAVING = auto()
-    EXITED = auto()  # the worker still reports its exit; it uses no capacity any more
-    GONE = auto()  # proven off its machine
+    EXITED = auto()  # uses no capacity any more, but the worker still reports its exit
+    GONE = auto()  # proven to have left its machine
 
 
 class TaskEvent(Enum):
-    """The events of a task's state machine."""
+    """Events that change a task's state."""
 
     COMMIT = auto()
-    REJECT = auto()  # the commit did not happen: the task was never assigned
+    REJECT = auto()  # the assignment was not committed
     SEND = auto()
     SEEN_FETCHING = auto()
     SEEN_WAITING = auto()
@@ -34,7 +34,7 @@
     SEEN_SAVING = auto()
     SEEN_EXITED = auto()
     ABSENT = auto()  # a newer report does not list it
-    MACHINE_GONE = auto()  # the machine's deletion was answered
+    MACHINE_GONE = auto()  # the machine's deletion was confirmed
 
 
 _S, _E = TaskState, TaskEvent
@@ -45,11 +45,11 @@
     (_S.PROPOSED, _E.REJECT): _S.GONE,
     (_S.PROPOSED, _E.MACHINE_GONE): _S.GONE,
     (_S.COMMITTED, _E.SEND): _S.SENT,
-    # A start that a fresh report does not show was dropped or forgotten: it may be sent again.
+    # A start whose task a newer report does not list did not take effect: it may be sent again.
     (_S.SENT, _E.ABSENT): _S.COMMITTED,
     (_S.UNKNOWN, _E.ABSENT): _S.COMMITTED,
     (_S.COMMITTED, _E.ABSENT): _S.COMMITTED,
-    # It was reported and no longer is: the worker's session ended.
+    # A task that was reported and is no longer listed has ended with the worker's session.
     (_S.FETCHING, _E.ABSENT): _S.GONE,
     (_S.WAITING, _E.ABSENT): _S.GONE,
     (_S.RUNNING, _E.ABSENT): _S.GONE,
