--- a/winglift/duties/__init__.py
+++ b/winglift/duties/__init__.py
@@ -1,1 +1,1 @@
-"""The leader's exclusive duties and their external operations: fenced, and recorded before they are sent."""
+"""The leader's exclusive duties and their external operations, which are fenced and recorded before they are sent."""
--- a/winglift/duties/duty.py
+++ b/winglift/duties/duty.py
@@ -1,7 +1,7 @@
 """The leader's exclusive duties as state machines, and the fencing token under which they are carried out.
 
-One lease covers all duties (`docs/duties.md` compares the alternatives): a node holds them by the leadership key at its
-revision. A duty is held only once the node knows which operations the previous holder had begun.
+One lease covers all duties (`docs/duties.md` compares the alternatives): a node holds them through the leadership key
+at its revision. It holds a duty only once it knows which operations the previous holder had begun.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 class DutyName(Enum):
     """The duties that only one controller may carry out."""
 
-    PLACEMENT = "placement"  # starts, stops, moves; reclaims capacity of lost machines and of borrowed work
+    PLACEMENT = "placement"  # starts, stops and moves tasks; reclaims the capacity of lost machines and borrowed quota
     CLOUD_OPERATIONS = "cloud operations"  # rentals and deletions of machines
     GARBAGE_COLLECTION = "garbage collection"
 
@@ -28,9 +28,9 @@
 class DutyState(Enum):
     """States of a duty on this node."""
 
-    ACQUIRING = auto()  # the lease is held; the operations of the previous holder are not known yet
+    ACQUIRING = auto()  # the lease is held, but the previous holder's operations are not known yet
     HELD = auto()
-    IN_DOUBT = auto()  # the lease may have expired by this node's clock: nothing is sent
+    IN_DOUBT = auto()  # the lease may have expired by this node's clock, so nothing is sent
     LOST = auto()  # another node holds the leadership key, or the lease has expired
     RELINQUISHED = auto()  # this node has resigned
 
@@ -38,8 +38,8 @@
 class DutyEvent(Enum):
     """Events that change a duty's state."""
 
-    READY = auto()  # the operations of the previous holder have been read and taken over
-    OVERDUE = auto()
+    READY = auto()  # the previous holder's operations have been read and taken over
+    OVERDUE = auto()  # the lease was not renewed in time
     RENEW = auto()
     LOSE = auto()
     RELINQUISH = auto()
@@ -63,13 +63,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Fence:
-    """Fencing token of a term: the state service checks the leadership key's revision, workers check the term."""
+    """Fencing token of a term. The state service checks the leadership key's revision, workers check the term."""
 
     term: int
     revision: int
 
     def condition(self) -> Condition:
-        """Condition of every transaction of a duty (invariant 1): it fails once another node holds the key."""
+        """The condition of every transaction of a duty (invariant 1): it fails once another node holds the key."""
         return Condition(LEADER_KEY, self.revision)
 
 
@@ -82,9 +82,9 @@
     state: DutyState = DutyState.ACQUIRING
 
     def move(self, event: DutyEvent) -> DutyState:
-        """Apply an event; the only place where a duty changes its state.
+        """Apply an event and return the new state; an event that the state does not allow is ignored.
 
-        An event that does not apply changes nothing: LOST and RELINQUISHED are final.
+        The state is changed nowhere else. LOST and RELINQUISHED are final.
         """
         new_state = TRANSITIONS.get((self.state, event), self.state)
         if new_state is not self.state:
@@ -114,15 +114,15 @@
         return self._all[name]
 
     def mark_ready(self, name: DutyName) -> None:
-        """Record that all that must be known before this duty is carried out has been read."""
+        """Mark a duty as ready: everything that its holder must know has been read."""
         self._all[name].move(DutyEvent.READY)
         self.sync_with_lease()
 
     def sync_with_lease(self) -> None:
-        """Update all duties to the state of the lease."""
-        leads = self.leadership.role is Role.LEADER and self.leadership.term == self.fence.term
+        """Apply the current state of the lease to all duties."""
+        is_leader = self.leadership.role is Role.LEADER and self.leadership.term == self.fence.term
         in_doubt = self.leadership.role is Role.DOUBTFUL and self.leadership.term == self.fence.term
-        event = DutyEvent.RENEW if leads else DutyEvent.OVERDUE if in_doubt else DutyEvent.LOSE
+        event = DutyEvent.RENEW if is_leader else DutyEvent.OVERDUE if in_doubt else DutyEvent.LOSE
         for duty in self._all.values():
             duty.move(event)
 
@@ -132,10 +132,11 @@
             duty.move(DutyEvent.RELINQUISH)
 
     def may_act(self, name: DutyName, now: float) -> bool:
-        """May this duty be carried out at steady time `now`? Asked after every wait, with the clock read anew.
+        """Whether this duty may be carried out at monotonic time `now`.
 
-        `entitled` counts the lease from when its renewal was sent, by a clock that may be slow (CLOCK_DRIFT), and ends
-        it LEADER_MARGIN_S early, to cover the time between this check and the sending.
+        Callers must check this after every wait, with a new reading of the clock. `Leadership.entitled` counts the
+        lease from when its renewal was sent, allows for a clock that runs slow (`CLOCK_DRIFT`), and ends the lease
+        `LEADER_MARGIN_S` early to cover the time between this check and the sending.
         """
         duty = self._all[name]
         return (
--- a/winglift/duties/external_operation.py
+++ b/winglift/duties/external_operation.py
@@ -1,7 +1,8 @@
-"""An external operation, a rental or deletion at the cloud, as a state machine from its intent to its end.
+"""The state machine of an external operation: a rental or deletion of machines at the cloud.
 
-The cloud checks neither term nor leadership key. So the intent is committed to the state service under the fencing
-token before the call is sent: a successor reads it and knows what may have been done, or may yet be, minutes later.
+The cloud checks neither the term nor the leadership key. So the intent is committed to the state service under the
+fencing token before the call is sent. A successor reads it and knows which calls may have been executed, or may still
+be executed minutes later.
 """
 
 from __future__ import annotations
@@ -17,9 +18,9 @@
 class OperationState(Enum):
     """States of an external operation."""
 
-    INTENDED = auto()  # decided, known to this node alone
-    RECORDED = auto()  # committed in the intent log: every successor knows of it
-    SENT = auto()  # the call may have been executed, or may yet be
+    INTENDED = auto()  # decided, but known to this node alone
+    RECORDED = auto()  # committed in the intent log, from which every successor learns of it
+    SENT = auto()  # the call may have been executed, or may still be
     SETTLED = auto()  # the cloud has confirmed it
     ABANDONED = auto()  # certainly not executed: refused, or withdrawn before it was recorded
 
@@ -29,7 +30,7 @@
 
     RECORD = auto()
     SEND = auto()
-    SEND_UNRECORDED = auto()  # a deletion for a cancelled task, while the state service is unavailable
+    SEND_UNRECORDED = auto()  # a deletion because of a cancelled task, while the state service is unavailable
     ANSWER = auto()
     REFUSE = auto()
     WITHDRAW = auto()
@@ -44,30 +45,30 @@
     (_S.RECORDED, _E.SEND): _S.SENT,
     (_S.RECORDED, _E.SEND_UNRECORDED): _S.SENT,
     (_S.SENT, _E.RECORD): _S.SENT,
-    (_S.SENT, _E.SEND): _S.SENT,  # no answer: retried
+    (_S.SENT, _E.SEND): _S.SENT,  # retried after no answer
     (_S.SENT, _E.SEND_UNRECORDED): _S.SENT,
     (_S.SENT, _E.ANSWER): _S.SETTLED,
     (_S.SENT, _E.REFUSE): _S.ABANDONED,
     (_S.SETTLED, _E.RECORD): _S.SETTLED,
-    (_S.ABANDONED, _E.RECORD): _S.ABANDONED,  # the intent record was being written when it ended
+    (_S.ABANDONED, _E.RECORD): _S.ABANDONED,  # it ended while the intent record was being written
 }
 OPEN = frozenset({_S.INTENDED, _S.RECORDED, _S.SENT})
 
 
 @dataclass(slots=True, eq=False)
 class ExternalOperation:
-    """A rental under a name that is never used again, or the deletion of one machine."""
+    """A rental under a name that is never reused, or the deletion of one machine."""
 
-    name: str  # of the rental, or of the machine to be deleted
-    intended_at: float  # steady time in s; of an inherited rental, computed from times of day
-    request: Rent | None = None  # the rental request; None: a deletion
+    name: str  # name of the rental, or of the machine to be deleted
+    intended_at: float  # monotonic time in s; for an inherited rental, computed from times of day
+    request: Rent | None = None  # the rental request; None for a deletion
     state: OperationState = OperationState.INTENDED
-    machines: tuple[str, ...] = ()  # that a rental has brought
+    machines: tuple[str, ...] = ()  # the machines that a settled rental has provided
     ended_at: float = math.inf
-    inherited: bool = False  # an earlier leader intended it
+    inherited: bool = False  # whether an earlier leader intended it
 
     def move(self, event: OperationEvent, now: float) -> OperationState:
-        """Apply an event; the only place where an operation changes its state. Raises InvalidTransition."""
+        """Apply an event; the state is changed nowhere else. Raises InvalidTransition."""
         try:
             self.state = TRANSITIONS[self.state, event]
         except KeyError:
@@ -78,5 +79,5 @@
 
     @property
     def is_open(self) -> bool:
-        """May it still be executed, or is its outcome not known?"""
+        """Whether it may still be executed, or its outcome is not known."""
         return self.state in OPEN
--- a/winglift/duties/garbage_collection.py
+++ b/winglift/duties/garbage_collection.py
@@ -1,7 +1,7 @@
-"""Garbage collection of stored state by the leader, with spare write budget only.
+"""Garbage collection of stored state by the leader, which uses spare write budget only.
 
-Each removal is conditional on the fencing token and on the revision at which its key was found to be garbage: a removal
-that is applied late, or by a replaced leader, removes nothing that was written since.
+Each removal is conditional on the fencing token and on the revision at which its key was found to be garbage. So a
+removal that is applied late, or by a replaced leader, removes nothing that was written since.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Removal:
-    """Keys that are garbage, at the revisions at which that was found, and the values written with their removal."""
+    """Keys to be removed as garbage, and values to be written in the same transaction."""
 
-    what: str
-    keys: tuple[tuple[str, int], ...]
+    description: str
+    keys: tuple[tuple[str, int], ...]  # each with the revision at which it was found to be garbage
     puts: tuple[tuple[state_messages.Put, int], ...] = ()  # each with the revision that its key must have
 
     def transaction(self, fence: state_messages.Condition) -> state_messages.Transaction:
@@ -48,7 +48,10 @@
     """Finds one kind of garbage."""
 
     async def find(self, most: int) -> Iterable[Removal]:
-        """Removals that may be made now, each of at most `most` changes. Raises RequestRejected or OutcomeUnknown."""
+        """The removals that may be made now, each with at most `most` changes.
+
+        Raises RequestRejected or OutcomeUnknown.
+        """
         ...
 
 
@@ -62,13 +65,13 @@
         self._limits = limits
 
     def _has_spare_budget(self) -> bool:
-        """Is the duty held, and is there write budget that neither starts nor ends nor users need?"""
+        """Whether this node holds the duty, and there is write budget that no starts, completions or users need."""
         return self.duties.may_act(DutyName.GARBAGE_COLLECTION, monotonic_time()) and self.state.has_spare_writes(
             constants.GC_WRITES_KEPT
         )
 
     async def run(self) -> None:
-        """Run each sweeper every GC_INTERVAL_S while this node holds the duty and there is spare budget."""
+        """Run each sweeper every `GC_INTERVAL_S` while this node holds the duty and there is spare write budget."""
         while True:
             await asyncio.sleep(constants.GC_INTERVAL_S)
             for sweeper in self.sweepers:
@@ -85,24 +88,24 @@
                 # Every write of a duty is conditional on the leadership key at its revision (invariant 1).
                 result = await self.state.commit(removal.transaction(self.duties.fence.condition()))
                 if isinstance(result, state_messages.Committed):
-                    log.debug("garbage collection: removed: what=%r keys=%d", removal.what, len(removal.keys))
+                    log.debug("garbage collection: removed: what=%r keys=%d", removal.description, len(removal.keys))
         except (RequestRejected, OutcomeUnknown, LeaseExpired) as err:
             log.debug("garbage collection: interrupted until the next run: error=%s", err)
 
 
 class ImageCacheSweeper:
-    """Finds image cache records that name no existing machine."""
+    """Finds image cache records that contain no existing machine."""
 
     def __init__(self, state: StateClient, cluster: ClusterState) -> None:
         self.state = state
         self.cluster = cluster
 
     async def find(self, most: int) -> list[Removal]:
-        """One removal for each image cache record all of whose machines are gone."""
+        """One removal for each image cache record all of whose machines have been deleted."""
         items, _ = await self.state.list(image_cache_record.PREFIX)
         stale = [
             item
             for item in items
             if not any(name in self.cluster.machines for name in image_cache_record.unpack([item.value]))
         ]
-        return [Removal("images of machines that are gone", ((item.key, item.version),)) for item in stale[:most]]
+        return [Removal("images of deleted machines", ((item.key, item.version),)) for item in stale[:most]]
--- a/winglift/duties/intent_log.py
+++ b/winglift/duties/intent_log.py
@@ -1,8 +1,8 @@
 """Intent log of external operations: each is committed under the fencing token before its call is sent to the cloud.
 
 The log is one value of the state service. Every write of it is conditional on the leadership key and on the value's own
-revision, so a replaced leader records nothing more, and sends nothing that is not recorded. Operations that are
-requested together share a write; the end of an operation is written with the next one.
+revision, so a replaced leader can record no more operations, and it sends none that is not recorded. Operations that
+are requested together share a write; the end of an operation is written together with the next operation.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 
 class FenceLost(Exception):
-    """Another node holds the leadership key: this node can record no more operations in this term."""
+    """Another node holds the leadership key, so this node can record no more operations in this term."""
 
 
 def _add_no_hints(record: intent_record.IntentRecord) -> None:
-    """Leave the record without failover hints."""
+    """Add no failover hints to the record."""
 
 
 class IntentLog:
-    """The external operations of one term and of its predecessors, committed before they are sent."""
+    """The external operations of one term and of earlier ones, each committed before it is sent."""
 
     def __init__(
         self,
@@ -48,14 +48,15 @@
     ) -> None:
         self.state = state
         self.fence = fence
-        self.fence_lost = False  # the leadership key has another revision
+        self.fence_lost = False  # whether the leadership key has another revision
         self.loaded = False
         self.inherited = intent_record.IntentRecord(0.0, 0)  # the record that the previous leader left
         self.rentals: dict[str, ExternalOperation] = {}
         self.deletions: dict[str, ExternalOperation] = {}
         self._add_failover_hints = add_failover_hints  # fills in the record's optional fields
         self._most_bytes = int(limits.value_kb * 1024) - constants.RECORD_SPARE_BYTES
-        # The cloud's lists are up to twice their lag old: every list requested from now on shows what ended longer ago.
+        # The cloud's lists are out of date by up to twice their lag. So every list requested from now on shows the
+        # operations that ended longer ago than that.
         self._keep_s = 2 * list_lag_s + constants.INTENT_LOG_KEEP_MARGIN_S
         self._version = 0
         self._base_time = wall_time()
@@ -63,12 +64,12 @@
         self._written_at = 0.0
         self._write_requested = asyncio.Event()
         self._write_finished = asyncio.Condition()
-        self._awaiting_commit: set[ExternalOperation] = set()  # intended, to be recorded with the next write
+        self._awaiting_commit: set[ExternalOperation] = set()  # intended operations, to be recorded by the next write
 
     # -- reading -------------------------------------------------------------------------------
 
     async def load(self) -> None:
-        """Read the log of earlier leaders, with retries; until that has succeeded nothing is placed or sent."""
+        """Read the log of earlier leaders, retrying until that succeeds; before it does, nothing is placed or sent."""
         while not self.loaded:
             try:
                 item = await self.state.get(intent_record.INTENT_LOG_KEY, urgent=True)
@@ -81,7 +82,7 @@
                 try:
                     self._inherit(intent_record.decode(item.value))
                 except InvalidRecord as err:
-                    # Not written by this program. What it may have recorded is learnt from the cloud's list.
+                    # Not written by this program. Operations that it may have recorded show in the cloud's list.
                     log.error("intent log: unreadable, starting anew: error=%s", err)
             self.loaded = True
 
@@ -89,7 +90,7 @@
         """Take over the operations of an earlier leader. Raises InvalidRecord."""
         now, wall_now = monotonic_time(), wall_time()
         for name in intent_record.unpack_names(record.deletions):
-            # A deletion that this leader has decided meanwhile may be recorded by an earlier one already.
+            # This leader may have decided on the same deletion already.
             operation = self.deletions.setdefault(name, ExternalOperation(name, now, inherited=True))
             operation.move(OperationEvent.RECORD, now)
         for intent in record.rentals:
@@ -99,9 +100,12 @@
     def _inherited_rental(
         self, record: intent_record.IntentRecord, intent: intent_record.RentalIntent, now: float, wall_now: float
     ) -> ExternalOperation:
-        """A rental as an earlier leader recorded it. Raises InvalidRecord if its type or zone is not in the record."""
+        """The operation of a rental that an earlier leader recorded.
+
+        Raises InvalidRecord if its type or zone is not in the record.
+        """
         if not (0 <= intent.type < len(record.types) and 0 <= intent.zone < len(record.zones)):
-            raise InvalidRecord(f"intent record: rental {intent.name} names no type or zone")
+            raise InvalidRecord(f"intent record: rental {intent.name} has an invalid type or zone index")
         request = Rent(
             intent.name, record.types[intent.type], record.zones[intent.zone], bool(intent.spot), intent.count
         )
@@ -117,12 +121,12 @@
     # -- writing -------------------------------------------------------------------------------
 
     def intend(self, operation: ExternalOperation) -> ExternalOperation:
-        """Add an operation without recording it yet; returns the one that is there if its name was added before."""
+        """Add an operation without recording it yet; returns the existing one if its name was added before."""
         operations = self.rentals if operation.request is not None else self.deletions
         return operations.setdefault(operation.name, operation)
 
     async def persist(self, operations: Iterable[ExternalOperation]) -> None:
-        """Return once all of these are committed under the fencing token. Raises FenceLost if they never will be."""
+        """Wait until all these operations are committed under the fencing token. Raises FenceLost if they can't be."""
         waiting = {operation for operation in operations if operation.state is OperationState.INTENDED}
         self._awaiting_commit |= waiting
         self._write_requested.set()
@@ -133,7 +137,10 @@
                 await self._write_finished.wait()
 
     def complete(self, operation: ExternalOperation, now: float) -> None:
-        """Mark an operation as confirmed by the cloud; this is written with the next operation, or later by itself."""
+        """Mark an operation as confirmed by the cloud.
+
+        This is written with the next operation, or by itself some time later.
+        """
         operation.move(OperationEvent.ANSWER, now)
         self._write_requested.set()
 
@@ -146,7 +153,10 @@
         self._write_requested.set()
 
     async def run(self) -> None:
-        """Write when operations wait for it; ends and failover hints alone are written with spare write budget only."""
+        """Write the log whenever operations wait to be recorded.
+
+        Ended operations and failover hints alone are written only with spare write budget.
+        """
         while not self.fence_lost:
             try:
                 async with asyncio.timeout(constants.INTENT_LOG_POLL_S):
@@ -165,13 +175,14 @@
                 await self._write(required=False)
 
     async def _write(self, required: bool) -> None:
-        """Write the record; unless `required`, only if it differs from the last one written."""
+        """Write the record; if not `required`, only if it differs from the last one written."""
         operations = self._operations_to_keep()
         value = self._encode_record(operations)
         if not required and value == self._written:
             return
-        # Every write of a duty is conditional on the leadership key at its revision (invariant 1), and on the log's
-        # own: an earlier write of this node that is applied late fails, and does not replace a newer one.
+        # Every write of a duty is conditional on the leadership key at its revision (invariant 1). This one is also
+        # conditional on the log's own revision, so that an earlier write of this node that is applied late fails
+        # instead of replacing a newer one.
         txn = state_messages.Transaction(
             [self.fence.condition(), state_messages.Condition(intent_record.INTENT_LOG_KEY, self._version)],
             [state_messages.Put(intent_record.INTENT_LOG_KEY, msgspec.Raw(value))],
@@ -195,7 +206,7 @@
             await self._reread(value, operations)
 
     async def _reread(self, value: bytes, operations: list[ExternalOperation]) -> None:
-        """Read whether a write was applied; only the holder of the leadership key writes the log."""
+        """Read the log to find out whether a write was applied; only the holder of the leadership key writes it."""
         try:
             item = await self.state.get(intent_record.INTENT_LOG_KEY, urgent=True)
         except (RequestRejected, OutcomeUnknown):
@@ -211,25 +222,28 @@
         """Mark the operations of a committed record as recorded, and wake the callers of `persist`."""
         now = monotonic_time()
         self._version, self._written, self._written_at = version, value, now
-        recorded_some = any(operation.state is OperationState.INTENDED for operation in operations)
+        recorded_any = any(operation.state is OperationState.INTENDED for operation in operations)
         for operation in operations:
             operation.move(OperationEvent.RECORD, now)
         self._awaiting_commit = {
             operation for operation in self._awaiting_commit if operation.state is OperationState.INTENDED
         }
-        self._forget_ended({operation.name for operation in operations})
+        self._remove_ended({operation.name for operation in operations})
         async with self._write_finished:
             self._write_finished.notify_all()
-        if self._awaiting_commit and recorded_some:
+        if self._awaiting_commit and recorded_any:
             self._write_requested.set()
         elif self._awaiting_commit:
-            # The record is full. Waiting operations are added once others have ended; each attempt costs a change.
+            # The record is full. The waiting operations are added once others have ended. The retry is delayed because
+            # each attempt costs a write.
             await self._retry_later()
 
-    def _forget_ended(self, kept: set[str]) -> None:
-        """Drop the operations that have ended and are no longer in the record."""
+    def _remove_ended(self, recorded_names: set[str]) -> None:
+        """Remove the operations that have ended and are no longer in the record."""
         for operations in (self.rentals, self.deletions):
-            ended = [name for name, operation in operations.items() if not operation.is_open and name not in kept]
+            ended = [
+                name for name, operation in operations.items() if not operation.is_open and name not in recorded_names
+            ]
             for name in ended:
                 del operations[name]
 
@@ -245,7 +259,7 @@
     # -- the record ----------------------------------------------------------------------------
 
     def _operations_to_keep(self) -> list[ExternalOperation]:
-        """The operations of the next record: the open ones, and those that ended too lately for every list to show."""
+        """The operations for the next record: the open ones, and settled ones that a list may not show yet."""
         now = monotonic_time()
         candidates = [
             operation
@@ -262,10 +276,10 @@
     def _by_priority(
         self, operations: list[ExternalOperation]
     ) -> tuple[list[ExternalOperation], list[ExternalOperation]]:
-        """The operations that the record must hold, and the others in the order in which they are added to it.
+        """The operations that the record must hold, and the optional ones in the order in which they are added.
 
-        Recorded open operations always fit, as they did when they were recorded. Intended ones follow in the order of
-        their intents, then ended ones, the latest first.
+        Recorded open operations are required; they always fit, as they did when they were recorded. Intended ones
+        follow in the order of their intents, then ended ones, the most recent first.
         """
         required = [
             operation
@@ -279,7 +293,10 @@
         return required, intended + ended
 
     def _count_that_fits(self, required: list[ExternalOperation], optional: list[ExternalOperation]) -> int:
-        """How many of the optional operations, from the first on, fit beside the required ones: a binary search."""
+        """The number of optional operations, from the first one on, that fit in addition to the required ones.
+
+        Found by binary search.
+        """
         low, high = 0, len(optional)
         while low < high:
             middle = (low + high + 1) // 2
@@ -290,20 +307,20 @@
         return low
 
     def _fits(self, operations: list[ExternalOperation]) -> bool:
-        """Do these operations fit into one record, beside FAILOVER_HINTS_BYTES for hints?"""
+        """Whether these operations fit into one record that also has `FAILOVER_HINTS_BYTES` left for hints."""
         return (
             len(intent_record.encode(self._record_without_hints(operations)))
             <= self._most_bytes - constants.FAILOVER_HINTS_BYTES
         )
 
     def _record_without_hints(self, operations: list[ExternalOperation]) -> intent_record.IntentRecord:
-        now, since_base = monotonic_time(), wall_time() - self._base_time
+        now, since_base_s = monotonic_time(), wall_time() - self._base_time
         record = intent_record.IntentRecord(self._base_time, self.fence.term)
         types: dict[str, int] = {}
         zones: dict[str, int] = {}
         for operation in operations:
             if operation.request is not None:
-                intended_at_s = round(since_base - (now - operation.intended_at))
+                intended_at_s = round(since_base_s - (now - operation.intended_at))
                 record.rentals.append(_rental_intent(operation, operation.request, intended_at_s, types, zones))
         record.types, record.zones = list(types), list(zones)
         record.deletions = intent_record.pack_names(
@@ -316,14 +333,14 @@
         without_hints = intent_record.encode(record)
         self._add_failover_hints(record)
         with_hints = intent_record.encode(record)
-        # Hints are optional, operations are not: with too little space the hints are left out.
+        # Operations are required and hints are not, so the hints are left out if they don't fit.
         return with_hints if len(with_hints) <= self._most_bytes else without_hints
 
 
 def _rental_intent(
     operation: ExternalOperation, request: Rent, intended_at_s: int, types: dict[str, int], zones: dict[str, int]
 ) -> intent_record.RentalIntent:
-    """A rental as the record holds it; a type or zone not yet in the tables `types` and `zones` is added to them."""
+    """The entry of a rental in the record. Adds its type and zone to the tables `types` and `zones` where missing."""
     return intent_record.RentalIntent(
         operation.name,
         types.setdefault(request.type, len(types)),
--- a/winglift/duties/intent_record.py
+++ b/winglift/duties/intent_record.py
@@ -1,7 +1,8 @@
-"""The intent record: pending external operations and failover hints for a successor, packed into one value. Pure.
+"""The intent record: pending external operations and failover hints for a successor, encoded as one value. Does no I/O.
 
-Machine names share a beginning and a width, so runs of them are packed as ranges: `vm-000407` to `vm-000423` are
-`vm-|6|407-423`. A settled rental keeps the machines that it brought until every list of the cloud must show them.
+Machine names share a prefix and a number of digits, so consecutive names are packed as ranges: `vm-000407` to
+`vm-000423` become `vm-|6|407-423`. A settled rental stays in the record, with the machines that it provided, until
+every list of the cloud must show them.
 """
 
 from __future__ import annotations
@@ -21,15 +22,15 @@
 
 
 class RentalIntent(msgspec.Struct, frozen=True, array_like=True):
-    """A rental as the intent record holds it."""
+    """A rental in the intent record."""
 
     name: str
-    type: int  # index in `types`
-    zone: int  # index in `zones`
+    type: int  # index in the record's `types`
+    zone: int  # index in the record's `zones`
     spot: int
     count: int
-    at_s: int  # of the intent, in s after the record's `base_time`
-    machines: str | None = None  # that it brought, packed; None: no answer is known
+    at_s: int  # time of the intent, in s after the record's `base_time`
+    machines: str | None = None  # packed names of the machines that it provided; None: no answer is known
 
 
 class IntentRecord(
@@ -50,41 +51,42 @@
         "failed_on": "f",
     },
 ):
-    """Stored value of the intent log. Times are times of day in s; a successor starts without the fields left out."""
+    """The stored value of the intent log. Times are times of day in s. A successor does without omitted fields."""
 
-    base_time: float  # when the leader that wrote it began its term
-    term: int  # of the leader that wrote it
+    base_time: float  # when the leader that wrote the record began its term
+    term: int  # the term of that leader
     types: list[str] = []
     zones: list[str] = []
     rentals: list[RentalIntent] = []
-    deletions: str = ""  # machines that this or an earlier term intended to delete, packed
+    deletions: str = ""  # packed names of the machines that this or an earlier term intended to delete
+    # The remaining fields are the failover hints.
     draining: dict[str, str] = {}  # machine being drained: reason
-    capacity_refusals: list[tuple[str, str, bool, float]] = []  # type, zone, spot, until
+    capacity_refusals: list[tuple[str, str, bool, float]] = []  # type, zone, spot, time until which it is not retried
     next_migration_at: float = 0.0
-    stopping_gangs: dict[str, int] = {}  # gang whose stop may not have reached all workers: its attempt
-    reserved_for_gangs: dict[str, tuple[float, str]] = {}  # gang: since when capacity is reserved for it, and where
-    failed_on: dict[str, list[str]] = {}  # job suspected of failing by itself: machines where it failed
+    stopping_gangs: dict[str, int] = {}  # gang whose stop may not have reached all its workers: attempt to be stopped
+    reserved_for_gangs: dict[str, tuple[float, str]] = {}  # gang: start of its reservation, and machines (packed)
+    failed_on: dict[str, list[str]] = {}  # job suspected of being faulty: machines where it failed
 
 
 _decoder = msgspec.json.Decoder(IntentRecord)
 
 
 def pack_names(names: Iterable[str]) -> str:
-    """Pack names as ranges where they end with a number of at most 15 digits; the others are quoted one by one."""
+    """Pack names that end with a number of at most 15 digits as ranges, and quote the others one by one."""
     groups: dict[tuple[str, int], list[int]] = {}
-    plain: list[str] = []
+    other_names: list[str] = []
     for name in names:
-        found = _NUMBERED.fullmatch(name)
-        if found is None:
-            plain.append(quote(name, safe=""))
+        match = _NUMBERED.fullmatch(name)
+        if match is None:
+            other_names.append(quote(name, safe=""))
         else:
-            groups.setdefault((quote(found[1], safe=""), len(found[2])), []).append(int(found[2]))
+            groups.setdefault((quote(match[1], safe=""), len(match[2])), []).append(int(match[2]))
     parts = [f"{prefix}|{width}|{pack_ranges(numbers)}" for (prefix, width), numbers in groups.items()]
-    return " ".join(parts + [f"={name}" for name in plain])
+    return " ".join(parts + [f"={name}" for name in other_names])
 
 
 def unpack_names(text: str) -> list[str]:
-    """The names packed by `pack_names`. Raises InvalidRecord for text in another format."""
+    """Unpack names packed by `pack_names`. Raises InvalidRecord if the text has another format."""
     names: list[str] = []
     try:
         for part in text.split(" ") if text else ():
@@ -92,8 +94,8 @@
                 names.append(unquote(part[1:]))
                 continue
             prefix, width, ranges = part.split("|")
-            for piece in ranges.split(","):
-                first, _, last = piece.partition("-")
+            for number_range in ranges.split(","):
+                first, _, last = number_range.partition("-")
                 if int(last or first) - int(first) > MAX_NAMES_IN_RANGE:
                     raise ValueError("too many names in one range")
             prefix = unquote(prefix)
@@ -104,7 +106,7 @@
 
 
 def decode(value: bytes | msgspec.Raw) -> IntentRecord:
-    """The intent record of a stored value. Raises InvalidRecord."""
+    """Decode a stored intent record. Raises InvalidRecord."""
     try:
         return _decoder.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
@@ -112,5 +114,5 @@
 
 
 def encode(record: IntentRecord) -> bytes:
-    """The value to be stored for an intent record."""
+    """Encode an intent record for storage."""
     return msgspec.json.encode(record)
