--- a/tests/test_cluster_state.py
+++ b/tests/test_cluster_state.py
@@ -1,4 +1,4 @@
-"""The cluster state under generated histories: records, reports late and lost, stops, deletions."""
+"""The cluster state under generated sequences of record changes, late and lost reports, deletions and failovers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FakeWorker:
-    """What a machine really does, independent of the leader's cluster state."""
+    """A simulated worker; holds what really runs on the machine, independent of the leader's cluster state."""
 
     def __init__(self, name: str, zone: str, spot: bool) -> None:
         self.name, self.zone, self.spot = name, zone, spot
@@ -51,7 +51,8 @@
             tasks=task_reports,
         )
 
-    def obey(self, token: int, commands: list[worker_messages.Command]) -> list[str]:
+    def execute(self, token: int, commands: list[worker_messages.Command]) -> list[str]:
+        """Execute the commands unless their term is outdated; return the tasks that were started."""
         started = []
         if token < self.token:
             return started
@@ -68,27 +69,29 @@
         return started
 
 
-class Histories(RuleBasedStateMachine):
+class ClusterStateMachine(RuleBasedStateMachine):
+    """A leader's cluster state, the committed records and four workers."""
+
     def __init__(self) -> None:
         super().__init__()
         self.now, self.version = 0.0, 10
-        self.store: dict[str, tuple[int, records.JobRecord]] = {}
+        self.committed_records: dict[str, tuple[int, records.JobRecord]] = {}
         self.workers = {f"vm-{i}": FakeWorker(f"vm-{i}", "ab"[i % 2], i > 1) for i in range(4)}
-        self.late: list[worker_messages.Report] = []
+        self.delayed_reports: list[worker_messages.Report] = []
         self.term = 1
-        self.cut = ""  # the zone whose reports don't arrive now
-        self.takeover()
+        self.partitioned_zone = ""  # the zone whose reports don't arrive at present; "": none
+        self.start_term()
 
-    def takeover(self) -> None:
+    def start_term(self) -> None:
         self.cluster = ClusterState(settings(), {"g4": TYPE}, self.term)
-        for ref, (version, record) in self.store.items():
+        for ref, (version, record) in self.committed_records.items():
             apply_record(self.cluster, ref, version, record, self.now)
         self.failure_detector = FailureDetector(self.cluster, settings().settings.workers, 0.0, "a")
         self.failure_detector.entitled_since = self.now
 
-    def put(self, ref: str, record: records.JobRecord) -> int:
+    def commit_record(self, ref: str, record: records.JobRecord) -> int:
         self.version += 1
-        self.store[ref] = (self.version, record)
+        self.committed_records[ref] = (self.version, record)
         return self.version
 
     @rule(
@@ -99,8 +102,8 @@
         team=st.sampled_from(["red", "blue"]),
     )
     def submit(self, kind, tasks, spot, one_zone, team):
-        if len(self.store) < 5:
-            ref = f"wk-{len(self.store)}"
+        if len(self.committed_records) < 5:
+            ref = f"wk-{len(self.committed_records)}"
             record = records.new_record(
                 spec(
                     ref,
@@ -114,7 +117,7 @@
                 ),
                 0.0,
             )
-            apply_record(self.cluster, ref, self.put(ref, record), record, self.now)
+            apply_record(self.cluster, ref, self.commit_record(ref, record), record, self.now)
 
     @rule(data=st.data())
     def place(self, data):
@@ -131,11 +134,11 @@
             if not job.pending_write:
                 continue
             record = pack(job)
-            if lost or self.store[job.ref][0] != job.version:
-                apply_record(self.cluster, job.ref, *self.store[job.ref], self.now)
+            if lost or self.committed_records[job.ref][0] != job.version:
+                apply_record(self.cluster, job.ref, *self.committed_records[job.ref], self.now)
                 continue
             job.pending_write = 0
-            version = self.put(job.ref, record)
+            version = self.commit_record(job.ref, record)
             if answered:
                 apply_commit(self.cluster, job, version, record, self.now)
             else:
@@ -148,8 +151,8 @@
             return
         self.now += 1.0
         report = worker.report()
-        if not arrives or worker.zone == self.cut:
-            self.late.append(report)
+        if not arrives or worker.zone == self.partitioned_zone:
+            self.delayed_reports.append(report)
             return
         self.deliver(worker, report, answered)
 
@@ -160,10 +163,10 @@
         if report.token == self.term:
             commands = commands + due_commands(self.cluster.machines[report.machine], report, self.now)
         if answered and (report.session, report.seq) == (worker.session, worker.seq):
-            for task in worker.obey(self.term, commands):
+            for task in worker.execute(self.term, commands):
                 ref, _, index = task.partition("/")
-                # Invariant 2: the committed record names this machine before the start.
-                assert records.unpack(self.store[ref][1]).assignments[int(index)][0] == worker.name
+                # Invariant 2: before a task is started, its committed record names the machine.
+                assert records.unpack(self.committed_records[ref][1]).assignments[int(index)][0] == worker.name
                 elsewhere = [
                     o.name
                     for o in self.workers.values()
@@ -174,13 +177,13 @@
                 assert not elsewhere, f"{task} runs on {elsewhere} and starts on {worker.name}"
 
     @rule(zone=st.sampled_from(["", "a", "b"]))
-    def cut_off(self, zone):
-        """A zone is cut off, or none any more. What runs there goes on or not, as `lease_ends` says."""
-        self.cut = zone
+    def partition_zone(self, zone):
+        """Reports from one zone stop arriving, or none. Its tasks run on until `expire_worker_lease` ends them."""
+        self.partitioned_zone = zone
 
     @rule(seconds=st.sampled_from([0.5, 3.0, 11.0, 40.0]), hears_all=st.booleans(), answered=st.booleans())
-    def judge(self, seconds, hears_all, answered):
-        """The leader deletes unresponsive machines; the deletion is carried out, and perhaps answered."""
+    def evaluate_machines(self, seconds, hears_all, answered):
+        """The leader deletes unresponsive machines; the deletions are executed, but not always answered."""
         self.now += seconds
         for machine, _ in self.failure_detector.evaluate(self.now, 1e9 + self.now, True, hears_all).to_delete:
             self.workers.pop(machine.name, None)
@@ -188,80 +191,80 @@
                 self.cluster.remove_machine(machine, self.now)
 
     @rule(seconds=st.sampled_from([5.0, 30.0]))
-    def stands_still(self, seconds):
-        """The leader wakes after a pause, still entitled or again."""
+    def pause_leader(self, seconds):
+        """The leader resumes after a pause with a valid lease."""
         self.now += seconds
         self.failure_detector.entitled_since = self.now
 
     @rule()
-    def late_report(self):
-        if self.late:
-            report = self.late.pop(0)
+    def deliver_delayed_report(self):
+        if self.delayed_reports:
+            report = self.delayed_reports.pop(0)
             worker = self.workers.get(report.machine)
             if worker is not None:
                 self.deliver(worker, report, False)
 
-    @rule(name=st.sampled_from(["vm-0", "vm-1", "vm-2", "vm-3"]), end=st.sampled_from(["done", "error"]))
-    def finish(self, name, end):
+    @rule(name=st.sampled_from(["vm-0", "vm-1", "vm-2", "vm-3"]), exit_reason=st.sampled_from(["done", "error"]))
+    def finish_task(self, name, exit_reason):
         worker = self.workers.get(name)
         for key, state in list(worker.tasks.items()) if worker else []:
             if state == "running":
-                worker.tasks[key] = end
+                worker.tasks[key] = exit_reason
                 break
 
     @rule(name=st.sampled_from(["vm-0", "vm-1", "vm-2", "vm-3"]))
-    def lease_ends(self, name):
+    def expire_worker_lease(self, name):
         worker = self.workers.get(name)
         if worker is not None:
             worker.tasks.clear()
             worker.session += 1
 
     @rule(name=st.sampled_from(["vm-2", "vm-3"]))
-    def delete(self, name):
+    def delete_machine(self, name):
         worker = self.workers.pop(name, None)
         if worker is not None and name in self.cluster.machines:
             self.cluster.remove_machine(self.cluster.machines[name], self.now)
 
     @rule(data=st.data())
-    def cancel(self, data):
-        if self.store:
-            ref = data.draw(st.sampled_from(sorted(self.store)))
-            _, record = self.store[ref]
+    def cancel_job(self, data):
+        if self.committed_records:
+            ref = data.draw(st.sampled_from(sorted(self.committed_records)))
+            _, record = self.committed_records[ref]
             if record.state == "o":
                 copy = records.decode(records.encode(record))
                 copy.state = "c"
-                apply_record(self.cluster, ref, self.put(ref, copy), copy, self.now)
+                apply_record(self.cluster, ref, self.commit_record(ref, copy), copy, self.now)
 
     @rule()
-    def another_leads(self):
+    def fail_over(self):
         self.term += 1
-        self.takeover()
+        self.start_term()
 
     @invariant()
-    def quota_usage_is_right(self):
+    def quota_usage_is_consistent(self):
         for team in ("red", "blue"):
             held = [t for j in self.cluster.jobs.values() for t in j.active.values() if j.spec.team == team]
             assert abs(self.cluster.quota.used[team].gpus - sum(t.job.spec.gpus for t in held)) < 1e-6
-            really = sum(
+            running_gpus = sum(
                 2.0
                 for o in self.workers.values()
                 for (t, _), s in o.tasks.items()
-                if s == "running" and self.store[t.partition("/")[0]][1].spec.team == team
+                if s == "running" and self.committed_records[t.partition("/")[0]][1].spec.team == team
             )
-            assert really <= 10.0
+            assert running_gpus <= 10.0
         for job in self.cluster.jobs.values():
             for task in job.active.values():
                 assert task.machine.tasks[job.ref, task.index] is task
 
     @invariant()
-    def assignments_are_allowed(self):
+    def running_tasks_respect_constraints(self):
         running: dict[str, list[FakeWorker]] = {}
         for worker in self.workers.values():
             for (task, _), state in worker.tasks.items():
                 if state == "running":
                     running.setdefault(task.partition("/")[0], []).append(worker)
         for ref, where in running.items():
-            job = self.store[ref][1].spec
+            job = self.committed_records[ref][1].spec
             assert job.spot or not any(o.spot for o in where)
             if job.one_zone:
                 assert len({o.zone for o in where}) == 1
@@ -269,12 +272,12 @@
                 assert all([o.zone for o in where].count(z) <= (job.tasks + 1) // 2 for z in "ab")
 
 
-TestHistories = Histories.TestCase
-TestHistories.settings = hsettings(max_examples=150, stateful_step_count=50, deadline=None, derandomize=True)
+TestClusterStateMachine = ClusterStateMachine.TestCase
+TestClusterStateMachine.settings = hsettings(max_examples=150, stateful_step_count=50, deadline=None, derandomize=True)
 
 
-def two_on_one_machine(tasks: int) -> tuple[ClusterState, FakeWorker, FakeWorker]:
-    """A gang with two members on vm-0 and, of three, one on vm-2; committed, not sent."""
+def gang_on_shared_machine(tasks: int) -> tuple[ClusterState, FakeWorker, FakeWorker]:
+    """A gang with two members on vm-0 and a third one, if any, on vm-2; its starts are committed, but not sent."""
     cluster = ClusterState(settings(), {"g4": TYPE}, 1)
     first, second = FakeWorker("vm-0", "a", False), FakeWorker("vm-2", "a", False)
     for worker in (first, second):
@@ -289,9 +292,9 @@
     return cluster, first, second
 
 
-def test_a_gang_found_broken_after_a_takeover_frees_both_members_of_one_machine():
-    """Large gangs share machines. The report that shows the loss once raised an error over the second member."""
-    before, first, second = two_on_one_machine(3)
+def test_a_gang_found_broken_after_a_failover_releases_both_members_on_one_machine():
+    """Members of large gangs share machines. The report that showed the loss of one raised an error for the other."""
+    before, first, second = gang_on_shared_machine(3)
     cluster = ClusterState(settings(), {"g4": TYPE}, 1)
     apply_record(cluster, "wk-1", 12, pack(before.jobs["wk-1"]), 0.0)
     second.tasks["wk-1/2", 1] = "running"
@@ -301,8 +304,8 @@
     assert [t.index for t in cluster.jobs["wk-1"].active.values()] == [2]
 
 
-def test_a_deleted_machine_with_two_unsent_members_of_a_gang_frees_both():
-    cluster, _, _ = two_on_one_machine(2)
+def test_deleting_a_machine_releases_both_unsent_gang_members_on_it():
+    cluster, _, _ = gang_on_shared_machine(2)
     cluster.remove_machine(cluster.machines["vm-0"], 1.0)
     assert not cluster.jobs["wk-1"].active and cluster.quota.used["red"].gpus == 0
 
@@ -320,14 +323,14 @@
             assert (state, TaskEvent.MACHINE_GONE) in TRANSITIONS
 
 
-def test_no_start_leaves_before_its_commit():
+def test_a_start_is_sent_only_after_its_commit():
     assert next_state(TaskState.COMMITTED, TaskEvent.SEND) is TaskState.SENT
     for state in TaskState:
         if state is not TaskState.COMMITTED:
             assert (state, TaskEvent.SEND) not in TRANSITIONS
 
 
-def test_a_leader_in_doubt_decides_nothing():
+def test_a_leader_may_not_act_once_its_lease_may_have_expired():
     leadership = Leadership()
     leadership.move(RoleEvent.CAMPAIGN)
     leadership.move(RoleEvent.WON)
@@ -344,9 +347,9 @@
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.booleans()), min_size=1, max_size=14), st.permutations(range(4)))
 def test_assignments_beyond_a_teams_limit_are_not_restarted_by_a_new_leader(places, order):
-    """Records may assign more than the limit allows: a task was proven off and its quota given to another job, and its
-    record did not say so yet when all nodes stopped. What does not run is restarted only up to the limit; what runs
-    goes on."""
+    """Records may assign more than the limit allows: a task had left its machine and its quota was given to another
+    job, but all nodes stopped before its own record was updated. Tasks that don't run are restarted only up to the
+    limit; running ones keep running."""
     cluster = ClusterState(settings(), {"g4": TYPE}, 2)
     limit = int(cluster.quota.teams["red"].gpus_max)
     running = [n for n, (_, runs) in enumerate(places) if runs][:limit]
@@ -378,8 +381,8 @@
                 tasks=listed,
             )
             reconcile_report(cluster, report, float(seq))
-            found = cluster.machines.get(f"vm-{machine}")
-            for command in due_commands(found, report, float(seq)) if found is not None else ():
+            known_machine = cluster.machines.get(f"vm-{machine}")
+            for command in due_commands(known_machine, report, float(seq)) if known_machine is not None else ():
                 assert command.op == "run"
                 started.add(command.task)
             assert len(started | {f"wk-{n}/0" for n in running}) <= limit
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,4 +1,4 @@
-"""Duties and external operations as state machines, the intent record, and the intent log at a faulty state service."""
+"""Duty and operation state machines, the intent record, and the intent log with a faulty state service."""
 
 from __future__ import annotations
 
@@ -37,14 +37,15 @@
 
 def test_final_states_of_a_duty_are_final_and_only_a_held_duty_may_act():
     for state, event in itertools.product(duty.DutyState, duty.DutyEvent):
-        made = duty.Duty(DutyName.CLOUD_OPERATIONS, Fence(3, 77), state)
-        after = made.move(event)
+        tested_duty = duty.Duty(DutyName.CLOUD_OPERATIONS, Fence(3, 77), state)
+        new_state = tested_duty.move(event)
         if state in (duty.DutyState.LOST, duty.DutyState.RELINQUISHED):
-            assert after is state
+            assert new_state is state
         if event is duty.DutyEvent.LOSE and state is not duty.DutyState.RELINQUISHED:
-            assert after is duty.DutyState.LOST
-        # Nobody comes to hold a duty but by knowing what was begun, or by a renewal of a lease that held it.
-        if after is duty.DutyState.HELD and state is not duty.DutyState.HELD:
+            assert new_state is duty.DutyState.LOST
+        # A node comes to hold a duty only once it knows the previous holder's operations, or when it renews a lease
+        # that was in doubt.
+        if new_state is duty.DutyState.HELD and state is not duty.DutyState.HELD:
             assert (state, event) in (
                 (duty.DutyState.ACQUIRING, duty.DutyEvent.READY),
                 (duty.DutyState.IN_DOUBT, duty.DutyEvent.RENEW),
@@ -52,7 +53,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from([*RoleEvent, "know", "again"]), st.floats(0.0, 4.0)), max_size=30))
-def test_a_duty_is_held_only_within_the_lease_and_under_the_term_it_was_taken_for(steps):
+def test_a_duty_is_held_only_within_the_lease_and_in_the_term_in_which_it_was_acquired(steps):
     leadership, now = Leadership(), 0.0
     leadership.move(RoleEvent.CAMPAIGN)
     leadership.move(RoleEvent.WON)
@@ -65,7 +66,7 @@
         if step == "know":
             duties.mark_ready(DutyName.CLOUD_OPERATIONS)
             known = True
-        elif step == "again":  # the node wins once more: these duties belong to the term before
+        elif step == "again":  # the node is elected again: these duties belong to the previous term
             leadership.term += 1
         else:
             if step is RoleEvent.RENEWED and leadership.role in (Role.LEADER, Role.DOUBTFUL):
@@ -82,17 +83,17 @@
 
 def test_no_operation_is_sent_before_it_is_recorded_except_deletions_for_cancellations():
     for state, event in itertools.product(external_operation.OperationState, external_operation.OperationEvent):
-        made = ExternalOperation("vm-1", 0.0, state=state)
+        operation = ExternalOperation("vm-1", 0.0, state=state)
         try:
-            after = made.move(event, 5.0)
+            new_state = operation.move(event, 5.0)
         except InvalidTransition:
-            assert made.state is state and made.ended_at == math.inf
+            assert operation.state is state and operation.ended_at == math.inf
             continue
-        if after is external_operation.OperationState.SENT and state is external_operation.OperationState.INTENDED:
+        if new_state is external_operation.OperationState.SENT and state is external_operation.OperationState.INTENDED:
             assert event is external_operation.OperationEvent.SEND_UNRECORDED
-        if not made.is_open:
-            assert made.ended_at == 5.0
-        assert after not in (external_operation.OperationState.SETTLED,) or state in (
+        if not operation.is_open:
+            assert operation.ended_at == 5.0
+        assert new_state not in (external_operation.OperationState.SETTLED,) or state in (
             external_operation.OperationState.SENT,
             external_operation.OperationState.SETTLED,
         )
@@ -112,19 +113,19 @@
 
 
 @given(NAMES)
-def test_names_of_machines_survive_packing(names):
+def test_unpacking_restores_packed_machine_names(names):
     assert sorted(intent_record.unpack_names(intent_record.pack_names(names))) == sorted(names)
 
 
 @given(st.text("vm-|=0123456789, %", max_size=30))
-def test_foreign_names_are_refused_or_read_but_never_crash_the_reader(text):
+def test_unpacking_arbitrary_text_succeeds_or_raises_invalid_record(text):
     try:
         assert all(isinstance(name, str) for name in intent_record.unpack_names(text))
     except InvalidRecord:
         pass
 
 
-def test_a_hundred_machines_in_a_row_take_few_bytes():
+def test_a_hundred_consecutive_machine_names_take_few_bytes():
     assert len(intent_record.pack_names(f"vm-{n:06d}" for n in range(407, 507))) < 20
     with pytest.raises(InvalidRecord):
         intent_record.unpack_names("vm-|6|1-99999999999999")
@@ -133,14 +134,18 @@
 # -- the intent log ----------------------------------------------------------------------------------
 
 
-class Service:
-    """One key and its revision, and the leadership key; answers as planned: fine, refused, lost, late."""
+class FakeStateService:
+    """The key of the intent log and the leadership key. Writes are handled as planned.
+
+    "refused": rejected; "lost": applied, but the answer is lost; "late": delayed until the test applies it; otherwise
+    applied and answered.
+    """
 
     def __init__(self) -> None:
         self.value: bytes | None = None
         self.version, self.leader = 0, 77
         self.plan: list[str] = []
-        self.late: list[state_messages.Transaction] = []
+        self.delayed: list[state_messages.Transaction] = []
         self.writes = 0
 
     _limits = LIMITS
@@ -160,8 +165,8 @@
         )
 
     def apply(self, txn: state_messages.Transaction) -> state_messages.Committed | state_messages.Conflict:
-        has = {"leader": self.leader, intent_record.INTENT_LOG_KEY: self.version}
-        failed = [c.key for c in txn.conditions if has[c.key] != c.version]
+        versions = {"leader": self.leader, intent_record.INTENT_LOG_KEY: self.version}
+        failed = [c.key for c in txn.conditions if versions[c.key] != c.version]
         if failed:
             return state_messages.Conflict(failed)
         self.version += 1
@@ -170,25 +175,25 @@
         return state_messages.Committed(self.version)
 
     async def commit(self, txn, max_wait=0.0):
-        how = self.plan.pop(0) if self.plan else "fine"
-        if how == "refused":
+        outcome = self.plan.pop(0) if self.plan else "fine"
+        if outcome == "refused":
             raise RequestRejected("503")
-        if how == "late":
-            self.late.append(txn)
+        if outcome == "late":
+            self.delayed.append(txn)
             raise OutcomeUnknown("no answer")
         result = self.apply(txn)
-        if how == "lost":
+        if outcome == "lost":
             raise OutcomeUnknown("no answer")
         return result
 
 
-def intent_log(service: Service, term: int = 3, list_lag_s: float = 3.0) -> IntentLog:
+def intent_log(service: FakeStateService, term: int = 3, list_lag_s: float = 3.0) -> IntentLog:
     return IntentLog(service, LIMITS, Fence(term, service.leader), list_lag_s)  # type: ignore[arg-type]
 
 
-async def during(made: IntentLog, work) -> None:
-    await made.load()
-    task = asyncio.ensure_future(made.run())
+async def run_with_log(log: IntentLog, work) -> None:
+    await log.load()
+    task = asyncio.ensure_future(log.run())
     try:
         await work
     finally:
@@ -196,106 +201,116 @@
 
 
 @given(st.lists(st.sampled_from(["fine", "refused", "lost", "late"]), max_size=5), st.integers(1, 6))
-def test_whatever_the_service_does_what_is_recorded_is_what_a_successor_reads(plan, count):
+def test_a_successor_reads_what_was_recorded_whatever_writes_fail(plan, count):
     async def scenario() -> None:
-        service, operations = Service(), [rental(n) for n in range(count)]
+        service, operations = FakeStateService(), [rental(n) for n in range(count)]
         service.plan = list(plan)
-        made = intent_log(service)
+        log = intent_log(service)
 
         async def work() -> None:
-            for one in operations:
-                made.intend(one)
-                if service.late:
-                    service.apply(service.late.pop(0))  # held back till now
-                await made.persist([one])
-                assert one.state is external_operation.OperationState.RECORDED
-                after = intent_log(service, term=4)
-                await after.load()
-                assert one.name in after.rentals and after.rentals[one.name].request == one.request
+            for operation in operations:
+                log.intend(operation)
+                if service.delayed:
+                    service.apply(service.delayed.pop(0))  # a delayed write of an earlier operation
+                await log.persist([operation])
+                assert operation.state is external_operation.OperationState.RECORDED
+                successor_log = intent_log(service, term=4)
+                await successor_log.load()
+                assert (
+                    operation.name in successor_log.rentals
+                    and successor_log.rentals[operation.name].request == operation.request
+                )
             service.leader = 99
             with pytest.raises(FenceLost):
-                await made.persist([made.intend(rental(50))])
-            assert all(isinstance(service.apply(txn), state_messages.Conflict) for txn in service.late)
+                await log.persist([log.intend(rental(50))])
+            assert all(isinstance(service.apply(txn), state_messages.Conflict) for txn in service.delayed)
 
-        await during(made, work())
+        await run_with_log(log, work())
 
     simulated(scenario())
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_write_of_a_replaced_leader_changes_nothing_after_its_successor_has_read(monkeypatch, guarded):
+def test_a_late_write_of_a_replaced_leader_fails_after_its_successor_has_read(monkeypatch, guarded):
     async def scenario() -> None:
-        service = Service()
+        service = FakeStateService()
         if not guarded:
             monkeypatch.setattr(Fence, "condition", lambda self: state_messages.Condition("leader", service.leader))
         service.plan = ["late"]
-        made = intent_log(service)
-        await made.load()
-        made.intend(rental(1))
+        log = intent_log(service)
+        await log.load()
+        log.intend(rental(1))
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.05):
-                await during(made, made.persist(made.rentals.values()))
+                await run_with_log(log, log.persist(log.rentals.values()))
         service.leader = 99
-        after = intent_log(service, 4)
-        await after.load()
+        successor_log = intent_log(service, 4)
+        await successor_log.load()
         if guarded:
-            assert isinstance(service.apply(service.late[0]), state_messages.Conflict)
+            assert isinstance(service.apply(service.delayed[0]), state_messages.Conflict)
         else:
-            # Recorded after the successor had read: an operation that no other node will ever know of.
-            service.late[0].conditions[0] = made.fence.condition()
-            assert isinstance(service.apply(service.late[0]), state_messages.Committed) and "t3-1" not in after.rentals
+            # Recorded after the successor has read the log: an operation that the successor will never know of.
+            service.delayed[0].conditions[0] = log.fence.condition()
+            assert (
+                isinstance(service.apply(service.delayed[0]), state_messages.Committed)
+                and "t3-1" not in successor_log.rentals
+            )
 
     simulated(scenario())
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_late_write_of_its_own_does_not_replace_a_newer_one(monkeypatch, guarded):
+def test_a_late_write_of_the_same_leader_does_not_replace_a_newer_one(monkeypatch, guarded):
     async def scenario() -> None:
-        service = Service()
+        service = FakeStateService()
         service.plan = ["late"]
-        made = intent_log(service)
+        log = intent_log(service)
 
         async def work() -> None:
-            await made.persist([made.intend(rental(1))])
-            await made.persist([made.intend(rental(2))])
+            await log.persist([log.intend(rental(1))])
+            await log.persist([log.intend(rental(2))])
             if not guarded:
-                service.late[0].conditions.pop()
-            assert isinstance(service.apply(service.late[0]), state_messages.Conflict) == guarded
-            after = intent_log(service, 4)
-            await after.load()
-            assert ("t3-2" in after.rentals) == guarded
+                service.delayed[0].conditions.pop()
+            assert isinstance(service.apply(service.delayed[0]), state_messages.Conflict) == guarded
+            successor_log = intent_log(service, 4)
+            await successor_log.load()
+            assert ("t3-2" in successor_log.rentals) == guarded
 
-        await during(made, work())
+        await run_with_log(log, work())
 
     simulated(scenario())
 
 
 def test_operations_requested_together_share_a_write_and_those_that_do_not_fit_wait():
     async def scenario() -> None:
-        service = Service()
-        made = intent_log(service)
-        many = [ExternalOperation(f"m{n * 7919:07d}x", float(n)) for n in range(600)]  # names that make no ranges
+        service = FakeStateService()
+        log = intent_log(service)
+        deletions = [ExternalOperation(f"m{n * 7919:07d}x", float(n)) for n in range(600)]  # names that make no ranges
 
         async def work() -> None:
-            few = [made.intend(rental(n)) for n in range(12)]
-            await made.persist(few)
+            rentals = [log.intend(rental(n)) for n in range(12)]
+            await log.persist(rentals)
             assert service.writes == 1
-            for one in many:
-                made.intend(one)
-            waits = asyncio.ensure_future(made.persist(many))
+            for operation in deletions:
+                log.intend(operation)
+            pending = asyncio.ensure_future(log.persist(deletions))
             await asyncio.sleep(0.02)
-            recorded = [e for e in many if e.state is external_operation.OperationState.RECORDED]
-            assert 100 < len(recorded) < 600 and not waits.done()
+            recorded = [
+                deletion for deletion in deletions if deletion.state is external_operation.OperationState.RECORDED
+            ]
+            assert 100 < len(recorded) < 600 and not pending.done()
             assert service.value is not None and len(service.value) <= LIMITS.value_kb * 1024
-            # What was recorded first goes on being held until it is over; then the others come.
-            while not waits.done():
-                for one in recorded:
-                    one.move(external_operation.OperationEvent.SEND, 0.0)
-                    made.complete(one, -1000.0)
+            # Recorded operations stay in the record until they are settled; only then are the others added.
+            while not pending.done():
+                for operation in recorded:
+                    operation.move(external_operation.OperationEvent.SEND, 0.0)
+                    log.complete(operation, -1000.0)
                 await asyncio.sleep(0.01)
-                recorded = [e for e in many if e.state is external_operation.OperationState.RECORDED]
+                recorded = [
+                    deletion for deletion in deletions if deletion.state is external_operation.OperationState.RECORDED
+                ]
 
-        await during(made, work())
+        await run_with_log(log, work())
 
     simulated(scenario())
 
@@ -305,27 +320,31 @@
         clock = [1000.0]
         monkeypatch.setattr("winglift.duties.intent_log.monotonic_time", lambda: clock[0])
         monkeypatch.setattr("winglift.duties.intent_log.wall_time", lambda: 1.7e9 + clock[0])
-        service = Service()
-        made = intent_log(service)
+        service = FakeStateService()
+        log = intent_log(service)
 
         async def work() -> None:
-            one = made.intend(rental(1, count=3))
-            await made.persist([one])
-            one.move(external_operation.OperationEvent.SEND, clock[0])
-            one.machines = ("vm-000001", "vm-000002", "vm-000009")
-            made.complete(one, clock[0])
-            for later, known in ((7.5, True), (9.0, False)):
-                clock[0] = 1000.0 + later
-                await made.persist([made.intend(ExternalOperation(f"vm-{later}", clock[0]))])
-                after = intent_log(service, 4)
-                await after.load()
-                found = after.rentals.get("t3-1")
-                assert (found is not None) == known
-                if found is not None:
-                    assert found.machines == one.machines and not found.is_open and found.inherited
-                    assert abs(found.intended_at - one.intended_at) <= 0.5
-
-        await during(made, work())
+            operation = log.intend(rental(1, count=3))
+            await log.persist([operation])
+            operation.move(external_operation.OperationEvent.SEND, clock[0])
+            operation.machines = ("vm-000001", "vm-000002", "vm-000009")
+            log.complete(operation, clock[0])
+            for elapsed_s, expected in ((7.5, True), (9.0, False)):
+                clock[0] = 1000.0 + elapsed_s
+                await log.persist([log.intend(ExternalOperation(f"vm-{elapsed_s}", clock[0]))])
+                successor_log = intent_log(service, 4)
+                await successor_log.load()
+                inherited_rental = successor_log.rentals.get("t3-1")
+                assert (inherited_rental is not None) == expected
+                if inherited_rental is not None:
+                    assert (
+                        inherited_rental.machines == operation.machines
+                        and not inherited_rental.is_open
+                        and inherited_rental.inherited
+                    )
+                    assert abs(inherited_rental.intended_at - operation.intended_at) <= 0.5
+
+        await run_with_log(log, work())
 
     simulated(scenario())
 
@@ -333,12 +352,12 @@
 @pytest.mark.parametrize(
     "value", [b"{}", b"[]", b'{"w":1.0,"t":1,"r":[["t1-1",4,0,0,1,0]]}', b'{"w":1.0,"t":1,"d":"|"}']
 )
-def test_an_intent_log_of_another_program_is_ignored_and_overwritten(value):
+def test_an_intent_log_in_another_format_is_ignored_and_overwritten(value):
     async def scenario() -> None:
-        service = Service()
+        service = FakeStateService()
         service.value, service.version = value, 5
-        made = intent_log(service)
-        await during(made, made.persist([made.intend(rental(1))]))
+        log = intent_log(service)
+        await run_with_log(log, log.persist([log.intend(rental(1))]))
         assert intent_record.decode(service.value).rentals[0].name == "t3-1"
 
     simulated(scenario())
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -29,7 +29,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 5)), max_size=40))
 def test_a_job_that_fails_everywhere_makes_no_machine_faulty(failures):
-    """However many tasks of two faulty jobs fail, wherever: two jobs, each on several machines."""
+    """The tasks of two faulty jobs fail on several machines each, however often and wherever."""
     jobs = [Job(f"wk-{i}", spec(f"wk-{i}"), 0.0) for i in range(2)]
     machines = [machine(f"vm-{i}") for i in range(6)]
     for job in jobs:
@@ -42,8 +42,8 @@
     )
 
 
-def test_a_machine_that_fails_what_runs_elsewhere_is_found_after_two_failures():
-    """Also when the proof comes later, from a task that completes elsewhere."""
+def test_a_machine_is_faulty_after_two_failures_of_a_job_that_succeeds_elsewhere():
+    """The failures count even if a task of the job completes elsewhere only later."""
     bad, good = machine("vm-bad"), machine("vm-good")
     job = Job("wk-1", spec("wk-1"), 0.0)
     for _ in range(constants.FAULTY_MACHINE_FAILURES):
@@ -53,8 +53,11 @@
     assert failure_attribution.machine_is_faulty(bad, 0.0) and not failure_attribution.job_is_suspect(job, 0.0)
 
 
-def test_a_job_that_met_two_faulty_machines_is_suspected_no_longer_once_they_are_found():
-    """A gang had members on two of them; it would have waited for free capacity while sound jobs preempted others."""
+def test_a_job_that_failed_on_two_faulty_machines_is_not_suspect_once_they_are_detected():
+    """Guards against a sound job that stays suspect, and so preempts nothing, after failures on faulty machines.
+
+    A gang had members on two of them, and would have waited for free capacity while other sound jobs preempted tasks.
+    """
     job, others = Job("wk-1", spec("wk-1"), 0.0), [Job(f"wk-{n}", spec(f"wk-{n}"), 0.0) for n in (2, 3)]
     bad = [machine("vm-1"), machine("vm-2")]
     for host, other in zip(bad, others, strict=True):
@@ -78,7 +81,7 @@
 
 
 def fail(cluster: ClusterState, job: Job, index: int, name: str, seq: int, now: float) -> None:
-    """Assign one task, run it and let it fail."""
+    """Place one task, and report first that it runs and then that it failed."""
     host = cluster.machines[name]
     attempt = job.next_attempt
     assert cluster.propose_placement(job, [(index, host)], now)
@@ -99,8 +102,8 @@
         assert reconcile_report(cluster, report, now) is not None
 
 
-def test_a_faulty_array_drains_no_machine_and_is_retried_ever_more_rarely():
-    """Eight of its tasks failed on one machine at once, which was drained of its replicas and deleted."""
+def test_a_faulty_array_drains_no_machine_and_is_retried_with_growing_backoff():
+    """When eight tasks of such an array failed on one machine, the machine was drained of replicas and deleted."""
     cluster = ClusterState(settings(), {"g4": TYPE}, 1)
     for i in range(6):
         report = worker_messages.Report(
@@ -119,7 +122,7 @@
     assert backoffs[1:] == sorted(backoffs[1:]) and backoffs[-1] > 4 * backoffs[1] > 0
 
 
-def test_nothing_is_stopped_or_rented_for_a_suspect_job():
+def test_a_suspect_job_causes_no_preemption_and_no_rental():
     job = spec("wk-1", tasks=1)
     busy = policy_snapshot.FreeCapacity(
         "vm-1",
@@ -142,7 +145,7 @@
     probe = plan([busy], is_probe=True)
     assert not probe.stops and not probe.rentals and not probe.starts
     assert plan([free], is_probe=True).starts
-    # It is retried where it has not failed yet.
+    # A suspect job is retried only where it has not failed yet.
     assert not plan([free], is_probe=True, avoided_machines=frozenset({"vm-2"})).starts
 
 
@@ -156,10 +159,10 @@
     probe = machine("vm-9", now, MachineState.BOOTING)
     assert tracker.probe_allowance([TYPE], [*overdue, probe], [], now) == {("g4", "a"): 0}
     assert tracker.probe_allowance([TYPE], overdue, [("g4", "a")], now) == {("g4", "a"): 0}
-    # One of the first that boots after all was late: it shows nothing.
+    # An overdue machine that boots after all does not show that the pool has recovered.
     assert not tracker.boot_completed(overdue[0], now) and tracker.failing_since
     assert tracker.boot_completed(probe, now + TYPE.boot_s) and not tracker.failing_since
-    # Single late machines beside others that booted in time are no fault of the pool.
+    # Overdue machines rented before one that booted in time don't make the pool fail.
     assert not tracker.detect_failing_pools(overdue, now + 100)
 
 
@@ -184,9 +187,12 @@
     assert zones({("g4", "a"): 1}) == ["b"] * 4
 
 
-def test_with_all_pools_failing_overdue_machines_still_count_and_half_are_kept_longer():
-    """Booting after four times the usual time, all were deleted after two and a half times; replacing them at once
-    filled the cloud's capacity with machines that did not boot."""
+def test_with_all_pools_failing_overdue_machines_are_still_expected_and_half_are_kept_longer():
+    """Guards against replacing all overdue machines at once.
+
+    Machines that needed four times the usual boot time were all deleted after two and a half times it, and their
+    replacements filled the cloud's capacity with machines that did not boot.
+    """
     tracker, late = BootTracker(), [machine(f"vm-{i}", 0.0, MachineState.BOOTING, "ab"[i % 2]) for i in range(20)]
     assert {tracker.boot_timeout_s(m, [TYPE]) for m in late} == {constants.BOOT_TIMEOUT * TYPE.boot_s}
     assert not any(tracker.is_expected(m, [TYPE], 100.0) for m in late)
@@ -200,29 +206,32 @@
 
 
 @given(st.integers(1, 30), st.integers(0, 12))
-def test_a_sound_job_that_met_faulty_machines_waits_less_than_90_s_beside_free_capacity(failures, machines):
-    """Its longest backoff, the time in which it avoids machines where it failed, and the run that shows it sound."""
-    lab = Fleet(20)
-    cluster, job = lab.cluster, lab.cluster.jobs[lab.job(Kind.ARRAY, 3, 1.0, 4.0)]
+def test_a_sound_job_that_failed_on_faulty_machines_waits_less_than_90_s_for_free_capacity(failures, machines):
+    """The bound holds both for the longest backoff and for the time in which the job avoids machines where it failed.
+
+    Each is counted together with the run that shows that the job is sound.
+    """
+    fleet = Fleet(20)
+    cluster, job = fleet.cluster, fleet.cluster.jobs[fleet.job(Kind.ARRAY, 3, 1.0, 4.0)]
     for name in list(cluster.machines)[:machines]:
         failure_attribution.record_failure(job, cluster.machines[name])
     job.failed_rounds = failures
     backoff = failure_attribution.retry_delay_s(job, 0.0)
     assert backoff + constants.SOUND_RUN_S + constants.IDLE_CYCLE_S < 90.0 and backoff < constants.AVOID_S
-    snapshot_builder = lab.fresh_view()
-    job.retry_not_before = lab.now + backoff
-    assert snapshot_builder.demands.demand(job, lab.now, NOW, False) is None
-    job.unplaced_since = lab.now
+    snapshot_builder = fleet.fresh_view()
+    job.retry_not_before = fleet.now + backoff
+    assert snapshot_builder.demands.demand(job, fleet.now, NOW, False) is None
+    job.unplaced_since = fleet.now
     first = snapshot_builder.demands.demand(job, job.retry_not_before, NOW, False)
     assert first is not None and first.avoided_machines == frozenset(job.failed_on)
-    later = snapshot_builder.demands.demand(job, lab.now + constants.AVOID_S, NOW, False)
+    later = snapshot_builder.demands.demand(job, fleet.now + constants.AVOID_S, NOW, False)
     assert later is not None and later.indices and not later.avoided_machines
     assert constants.AVOID_S + constants.SOUND_RUN_S + constants.IDLE_CYCLE_S < 90.0
 
 
 @given(st.lists(st.floats(0.0, 3.0), min_size=2, max_size=40))
 def test_the_first_backoff_of_a_suspect_job_is_short(times):
-    """Its tasks fail together, but are reported one after the other."""
+    """The job's tasks fail together, but their failures are reported one after the other."""
     cluster = ClusterState(settings(), {"g4": TYPE}, 1)
     count = len(times)
     for i in range(count):
--- a/tests/test_fences.py
+++ b/tests/test_fences.py
@@ -1,7 +1,7 @@
-"""Several controllers in simulated time: the leader is paused, crashes, or has its messages held back.
+"""Several controllers in simulated time: the leader is paused, crashes, or has its messages delayed.
 
-The faults come at each step of its external operations, enumerated and not sampled: a first run lists the steps, each
-further run fails at one of them.
+The faults are injected at every step of the leader's external operations, without sampling: a first run records the
+steps, and each further run has a fault at one of them.
 """
 
 from __future__ import annotations
@@ -29,18 +29,22 @@
     "twice",
     "after a third holder",
 ]
-PARTS = 4  # of the steps, so that they can run in parallel
+PARTS = 4  # number of parts into which the steps are split to run in parallel
 STEPS = ("POST /commit", "POST /hosts", "POST /hosts/delete")
 
 
-class Run:
-    """One scenario: three jobs come at 5 s, two machines die at 32 s, three more come at 36 s; at one step it fails."""
+class ScenarioRun:
+    """One run of the scenario, with `fault` injected at step `at`, if any.
 
-    def __init__(self, fault: str = "", at: int = -1, steps: int = 0) -> None:
+    Three jobs are submitted at 5 s, two machines fail at 32 s, and three more jobs are submitted at 36 s. With
+    `stop_after`, the leader is paused only that many callbacks after the step.
+    """
+
+    def __init__(self, fault: str = "", at: int = -1, stop_after: int = 0) -> None:
         self.scene = scene = Scene(3, boot_s=6.0, run_s=8.0, lag_s=8.0)
-        self.fault, self.at, self.stop_after = fault, at, steps
+        self.fault, self.at, self.stop_after = fault, at, stop_after
         self.steps: list[tuple[int, str, str]] = []
-        self.by_replaced: list[str] = []  # calls to the cloud that a node sent which did not hold the key any more
+        self.calls_by_replaced: list[str] = []  # calls to the cloud by a node that no longer held the leadership key
         self.victim, self.failed_at, self._writes = "", 0.0, 0
         scene.net.loss = 0.0
         scene.net.watch = self._watch
@@ -54,15 +58,15 @@
         for ref in REFS[3:]:
             scene.submit(ref, pieces=4)
         scene.loop.run(60.0)
-        # What was held arrives after the successor has acted.
-        self._deliver()
+        # Delayed messages arrive after the successor has acted.
+        self._deliver_delayed()
         if fault:
             scene.loop.run(72.0)
         self.ended = scene.all_end(REFS, 120.0)
-        self._deliver()
+        self._deliver_delayed()
         scene.loop.run(max(scene.loop.now, self.failed_at + 40.0) if fault else scene.loop.now + 70.0)
 
-    def _deliver(self) -> None:
+    def _deliver_delayed(self) -> None:
         for arrive in self.scene.net.kept:
             arrive()
         self.scene.net.kept.clear()
@@ -73,7 +77,7 @@
         if message.what in ("POST /hosts", "POST /hosts/delete") and message.source.startswith("node-"):
             key = scene.state.keys.get("leader")
             if key is not None and key[0]["node"] != message.source:
-                self.by_replaced.append(f"{scene.loop.now:.2f} {message.source} {message.what}")
+                self.calls_by_replaced.append(f"{scene.loop.now:.2f} {message.source} {message.what}")
         node = message.source if message.source.startswith("node-") else message.target
         key = scene.state.keys.get("leader")
         if step not in STEPS or key is None or key[0]["node"] != node or scene.loop.now < 5.0:
@@ -97,8 +101,8 @@
                 host.steps_left = self.stop_after
             else:
                 host.stand_still()
-            # What was about to leave it leaves when it wakes: another node leads by then, and no other node
-            # gets through to it for a while, so that it learns of that from nobody.
+            # The node sends its pending messages when it resumes. By then another node leads, and no other node can
+            # reach it for a while, so that none can tell it.
             cuts = [Cut(other, node, True) for other in scene.nodes if other != node]
             scene.net.cuts += cuts
             scene.later(20.0, host.go_on)
@@ -111,103 +115,103 @@
         if self.fault == "outage":
             return None
         if self.fault.startswith("crashes"):
-            scene.later(0.0, self._back, node)
+            scene.later(0.0, self._restart, node)
             return None
         if self.fault in ("twice", "after a third holder"):
-            scene.later(0.0, self._back, node)
-            # Its successor ends too, so that a third node leads when the message comes (again).
-            scene.later(9.0, lambda: self._back(scene.leader()))
+            scene.later(0.0, self._restart, node)
+            # The successor is restarted too, so that a third node leads when the message arrives (again).
+            scene.later(9.0, lambda: self._restart(scene.leader()))
             return 25.0 if self.fault == "twice" else "hold"
         if self.fault == "held":
             if message.source == node:
-                # It waits on the way for minutes, and the node with it is gone from the others' sight.
-                scene.later(0.0, self._back, node)
+                # The message is delayed by minutes, and the node that sent it is restarted.
+                scene.later(0.0, self._restart, node)
             return "hold"
         return "drop"
 
-    def _back(self, node: str | None) -> None:
-        """A node's process ends and is back after 3 s."""
+    def _restart(self, node: str | None) -> None:
+        """Crash a node and restart it after 3 s."""
         if node in self.scene.nodes:
             self.scene.crash(node)
             self.scene.later(3.0, self.scene.start, int(node[-1]))
 
-    def wrong(self) -> list[str]:
-        found = list(self.scene.broken) + self.by_replaced
-        found += [f"not ended: {set(REFS) - set(self.scene.ended)}"] if not self.ended else []
-        found += [str(fault) for fault in self.scene.loop.faults if "exception" in fault]
+    def violations(self) -> list[str]:
+        violations = list(self.scene.broken) + self.calls_by_replaced
+        violations += [f"not ended: {set(REFS) - set(self.scene.ended)}"] if not self.ended else []
+        violations += [str(fault) for fault in self.scene.loop.faults if "exception" in fault]
         names = [name for answer in self.scene.cloud.requests.values() for name in answer]
-        found += ["a machine was rented under two names"] if len(names) != len(set(names)) else []
-        return found
+        violations += ["a machine was rented under two names"] if len(names) != len(set(names)) else []
+        return violations
 
 
 @cache
-def plain() -> Run:
-    return Run()
+def run_without_fault() -> ScenarioRun:
+    return ScenarioRun()
 
 
-def test_the_scenario_without_a_fault_breaks_nothing_and_repeats_to_the_byte():
-    run = plain()
-    assert run.wrong() == [] and len(run.steps) > 10
+def test_the_scenario_without_a_fault_violates_no_rule_and_is_deterministic():
+    run = run_without_fault()
+    assert run.violations() == [] and len(run.steps) > 10
     assert {what for _, _, what in run.steps} >= {*STEPS, "answer POST /hosts", "answer POST /hosts/delete"}
-    assert Run().scene.net.log == run.scene.net.log
+    assert ScenarioRun().scene.net.log == run.scene.net.log
 
 
 @pytest.mark.parametrize("part", range(PARTS))
 @pytest.mark.parametrize("fault", FAULTS)
-def test_at_no_step_does_a_replaced_leader_rent_twice_or_delete_a_machine_in_use(fault, part):
-    base = plain()
-    wrong = {}
+def test_a_replaced_leader_never_rents_twice_or_deletes_a_machine_in_use_at_any_step(fault, part):
+    base = run_without_fault()
+    violations_by_step = {}
     for number, _, what in base.steps[part::PARTS]:
-        run = Run(fault, number)
-        found = run.wrong()
-        # What was under way is found by the successor: nothing is rented for the same need a second time.
+        run = ScenarioRun(fault, number)
+        run_violations = run.violations()
+        # The successor learns of operations in progress, so nothing is rented a second time for the same demand.
         extra = run.scene.cloud.rentals - base.scene.cloud.rentals
-        if found or extra > 2:
-            wrong[number, what] = (found[:3], extra)
-    assert wrong == {}
+        if run_violations or extra > 2:
+            violations_by_step[number, what] = (run_violations[:3], extra)
+    assert violations_by_step == {}
 
 
-# -- guards, each of which a test misses -------------------------------------------------------
+# -- each safeguard is necessary: without it the scenario fails --------------------------------
 
 
-def test_without_the_recorded_intent_the_scenario_breaks_a_rule(monkeypatch):
+def test_without_a_recorded_intent_the_scenario_violates_a_rule(monkeypatch):
     async def persist(self, operations):
         for operation in operations:
             if operation.is_open:
                 operation.move(OperationEvent.RECORD, 0.0)
 
     monkeypatch.setattr(IntentLog, "persist", persist)
-    assert any("without a recorded intent" in fault for fault in Run().wrong())
+    assert any("without a recorded intent" in fault for fault in ScenarioRun().violations())
 
 
-def test_a_leader_paused_between_any_two_of_its_steps_sends_nothing_when_it_resumes():
-    """Between the answer to its record and the call lie some callbacks; a message tells none of them apart."""
+def test_a_leader_paused_between_any_two_callbacks_sends_nothing_when_it_resumes():
+    """Several callbacks run between the answer to the intent record and the call; messages don't distinguish them."""
     for steps in range(1, 10):
-        assert Run("stands still", 5, steps).wrong() == []
+        assert ScenarioRun("stands still", 5, steps).violations() == []
 
 
 def test_without_the_last_lease_check_a_replaced_leader_calls_the_cloud(monkeypatch):
     monkeypatch.setattr(LeaderTerm, "may_use_cloud", lambda self: True)
-    assert Run("stands still", 5, 1).by_replaced
+    assert ScenarioRun("stands still", 5, 1).calls_by_replaced
 
 
 def test_without_the_intent_log_a_successor_rents_a_second_time(monkeypatch):
-    """The call was answered, the leader ended, and no list shows the machines yet."""
-    base = plain().scene.cloud.rentals
-    assert Run("crashes", 11).scene.cloud.rentals == base
+    """The rental was answered and the leader crashed, but no list of the cloud shows the machines yet."""
+    base = run_without_fault().scene.cloud.rentals
+    assert ScenarioRun("crashes", 11).scene.cloud.rentals == base
     monkeypatch.setattr(Inventory, "resume_operations", lambda self, now: None)
-    assert Run("crashes", 11).scene.cloud.rentals > base
+    assert ScenarioRun("crashes", 11).scene.cloud.rentals > base
 
 
-def test_without_the_lists_age_sound_machines_are_given_up(monkeypatch):
-    """A list says nothing about what was rented after the time that it describes."""
-    base = plain().scene.cloud.rentals  # run before the guard is taken away, whichever test comes first
+def test_without_the_age_of_the_machine_list_sound_machines_are_given_up(monkeypatch):
+    """A list says nothing about machines that were rented after the time that it describes."""
+    base = run_without_fault().scene.cloud.rentals  # run before the safeguard is removed, whichever test comes first
     monkeypatch.setattr(constants, "INTENT_LOG_KEEP_MARGIN_S", -1000.0)
-    assert Run("crashes", 3).scene.cloud.rentals > base + 10
+    assert ScenarioRun("crashes", 3).scene.cloud.rentals > base + 10
 
 
 class LateDeletion:
-    """A deletion of an idle machine is held back, its sender crashes, a job comes, and then the deletion arrives."""
+    """The deletion of an idle machine is delayed and its sender crashes. It arrives after another job was submitted."""
 
     def __init__(self) -> None:
         self.scene = scene = Scene(3, boot_s=6.0, run_s=8.0, lag_s=3.0)
@@ -233,19 +237,19 @@
         return "hold"
 
 
-def test_a_late_deletion_hits_no_machine_on_which_a_successor_has_placed_a_task():
+def test_a_late_deletion_affects_no_machine_on_which_a_successor_has_placed_a_task():
     run = LateDeletion()
     assert run.ended and run.scene.broken == []
     assert [fault for fault in run.scene.loop.faults if "exception" in fault] == []
 
 
-def test_without_the_deletions_of_an_earlier_term_a_late_deletion_hits_a_machine_in_use(monkeypatch):
+def test_without_inherited_deletions_a_late_deletion_affects_a_machine_in_use(monkeypatch):
     monkeypatch.setattr(Inventory, "resume_operations", lambda self, now: None)
     assert any("placed after its deletion was intended" in fault for fault in LateDeletion().scene.broken)
 
 
-def test_an_outage_of_the_state_service_blocks_no_deletion_that_a_cancellation_demands():
-    """The machine can't be reached, its job is cancelled, and from then on nothing can be recorded."""
+def test_an_outage_of_the_state_service_does_not_block_deletions_for_a_cancellation():
+    """A machine can't be reached, its job is cancelled, and from then on the state service can record nothing."""
     scene = Scene(3, boot_s=6.0, lag_s=3.0)
     scene.start_all()
     scene.loop.run(5.0)
--- a/tests/test_garbage_collection.py
+++ b/tests/test_garbage_collection.py
@@ -1,4 +1,4 @@
-"""Clean-up of state, against the stand-in state service in simulated time: what goes, what stays, and who may do it."""
+"""Garbage collection with the simulated state service: what it removes, what it keeps, and which node may run it."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from winglift.wire.flows import FlowState, FlowSubmission, How
 
 
-class Place:
-    """A node that holds the duty of garbage collection, and a state service."""
+class CollectorNode:
+    """A node that holds the garbage collection duty, and a state service, in simulated time."""
 
     def __init__(self) -> None:
         self.net = Network()
-        self.service, far = StateService(), Host(self.net, "services", "")
-        far.context.run(far.serve, application(self.service), "10.1.0.1", 80)
+        self.service, service_host = StateService(), Host(self.net, "services", "")
+        service_host.context.run(service_host.serve, application(self.service), "10.1.0.1", 80)
         self.host = Host(self.net, "node-0", "a")
-        self.put("leader", {"term": 3, "node": "node-0"})
+        self.write("leader", {"term": 3, "node": "node-0"})
         self.leadership = Leadership(Role.LEADER, 3, 1, self.service.version("leader"), 1e12)
         limits = settings().settings.state
         self.state = self.host.context.run(StateClient, "10.1.0.1", 80, limits, 1)
@@ -38,10 +38,10 @@
         self.collector = GarbageCollector(self.state, limits, self.duties)
         self.cluster = ClusterState(settings(), {"g4": TYPE}, 3)
 
-    def put(self, key: str, value: object) -> None:
+    def write(self, key: str, value: object) -> None:
         self.net.loop.run(lambda: self.service.apply([{"write": key, "v": msgspec.to_builtins(value)}]) > 0)
 
-    def passes(self, runs: int = 1) -> None:
+    def run_collections(self, runs: int = 1) -> None:
         self.host.run(self.collector.run())
         self.net.loop.run(self.net.loop.now + runs * (constants.GC_INTERVAL_S + 5.0))
 
@@ -53,74 +53,74 @@
     return {"n": ["img"], "s": [5.0], "g": [5.0], "m": {name: [0] for name in machines}}
 
 
-def fill(place: Place) -> None:
-    place.cluster.register_machine("vm-1", "g4", "a", False, 0.0, 0.0)
+def add_image_cache_records(node: CollectorNode) -> None:
+    node.cluster.register_machine("vm-1", "g4", "a", False, 0.0, 0.0)
     for number, names in enumerate((["vm-1", "vm-2"], ["vm-3"], [])):
-        place.put(f"{image_cache_record.PREFIX}{number}", images(*names))
-    place.collector.sweepers.append(ImageCacheSweeper(place.state, place.cluster))
+        node.write(f"{image_cache_record.PREFIX}{number}", images(*names))
+    node.collector.sweepers.append(ImageCacheSweeper(node.state, node.cluster))
 
 
 def test_image_cache_records_without_existing_machines_are_removed_and_the_others_stay():
-    place = Place()
-    fill(place)
-    place.passes()
-    assert place.keys(image_cache_record.PREFIX) == {"image/0"}
+    node = CollectorNode()
+    add_image_cache_records(node)
+    node.run_collections()
+    assert node.keys(image_cache_record.PREFIX) == {"image/0"}
 
 
 @pytest.mark.parametrize("what", ["written since", "replaced", "in doubt"])
 def test_late_garbage_collection_removes_nothing(what):
-    place = Place()
-    fill(place)
-    place.host.run(place.collector.run())
+    node = CollectorNode()
+    add_image_cache_records(node)
+    node.host.run(node.collector.run())
 
-    def late(message):
+    def hold_commits(message):
         if message.what == "POST /commit":
             return "hold"
         return None
 
     if what == "in doubt":
-        place.leadership.valid_until = 0.0
+        node.leadership.valid_until = 0.0
     else:
-        place.net.watch = late
-    place.net.loop.run(constants.GC_INTERVAL_S + 5.0)
+        node.net.watch = hold_commits
+    node.net.loop.run(constants.GC_INTERVAL_S + 5.0)
     if what == "written since":
-        place.put("image/1", images("vm-3", "vm-4"))
-        place.put("image/2", images("vm-5"))
+        node.write("image/1", images("vm-3", "vm-4"))
+        node.write("image/2", images("vm-5"))
     elif what == "replaced":
-        place.put("leader", {"term": 4, "node": "node-1"})
-    place.net.watch = lambda message: None
-    for arrive in place.net.kept:
-        place.net.loop.run(lambda arrive=arrive: arrive() is None)
-    place.net.loop.run(place.net.loop.now + 1.0)
-    assert place.keys(image_cache_record.PREFIX) == {"image/0", "image/1", "image/2"}
+        node.write("leader", {"term": 4, "node": "node-1"})
+    node.net.watch = lambda message: None
+    for arrive in node.net.kept:
+        node.net.loop.run(lambda arrive=arrive: arrive() is None)
+    node.net.loop.run(node.net.loop.now + 1.0)
+    assert node.keys(image_cache_record.PREFIX) == {"image/0", "image/1", "image/2"}
 
 
 def test_steps_of_workflows_that_ended_a_week_ago_are_removed_and_their_final_states_stay():
-    place = Place()
-    old, new = EPOCH - constants.GC_FLOW_STEPS_AGE_S - 3600.0, EPOCH - 3600.0
+    node = CollectorNode()
+    old_time, recent_time = EPOCH - constants.GC_FLOW_STEPS_AGE_S - 3600.0, EPOCH - 3600.0
     heads = {
-        "fl-1": (old, FlowState.DONE, old),
-        "fl-2": (old, FlowState.DONE, new),
-        "fl-3": (old, FlowState.OPEN, old),
-        "fl-4": (new, FlowState.DONE, new),
+        "fl-1": (old_time, FlowState.DONE, old_time),
+        "fl-2": (old_time, FlowState.DONE, recent_time),
+        "fl-3": (old_time, FlowState.OPEN, old_time),
+        "fl-4": (recent_time, FlowState.DONE, recent_time),
     }
     for ref, (submitted, state, ended) in heads.items():
         sub = FlowSubmission(ref=ref, team="red", plan="p", order="o")
-        place.put(records.HEAD + ref, records.Head(sub, submitted, state, outputs="digest"))
+        node.write(records.HEAD + ref, records.Head(sub, submitted, state, outputs="digest"))
         for number in range(10):
-            place.put(f"{records.step_prefix(ref)}{number}", records.StepRecord(f"s{number}", How.DONE, ended))
-    place.put(f"{records.HEAD}fl-5", {"foreign": 1})
-    place.collector.sweepers.append(OldSteps(place.state))
-    place.passes(runs=1 + round(2 * constants.GC_FLOWS_INTERVAL_S / constants.GC_INTERVAL_S))
-    left = {ref: len(place.keys(records.step_prefix(ref))) for ref in heads}
-    assert left == {"fl-1": 0, "fl-2": 10, "fl-3": 10, "fl-4": 10}
-    head = place.service.keys["flow/fl-1"][0]
+            node.write(f"{records.step_prefix(ref)}{number}", records.StepRecord(f"s{number}", How.DONE, ended))
+    node.write(f"{records.HEAD}fl-5", {"foreign": 1})
+    node.collector.sweepers.append(OldSteps(node.state))
+    node.run_collections(runs=1 + round(2 * constants.GC_FLOWS_INTERVAL_S / constants.GC_INTERVAL_S))
+    remaining = {ref: len(node.keys(records.step_prefix(ref))) for ref in heads}
+    assert remaining == {"fl-1": 0, "fl-2": 10, "fl-3": 10, "fl-4": 10}
+    head = node.service.keys["flow/fl-1"][0]
     assert head["state"] == "done" and head["outputs"] == "digest" and head["swept"]
-    assert len(place.keys(records.HEAD)) == 5
+    assert len(node.keys(records.HEAD)) == 5
 
 
-def test_what_the_service_keeps_beside_jobs_does_not_grow():
-    """Twenty rounds of rentals, ends, deaths, returns and new leaders leave the keys of one."""
+def test_stored_state_other_than_job_records_does_not_grow():
+    """Twenty rounds of rentals, completions, machine failures, returns and failovers leave no more keys than one."""
     scene = Scene(3, boot_s=3.0, run_s=4.0, lag_s=2.0)
     scene.start_all()
     scene.loop.run(5.0)
@@ -136,8 +136,8 @@
             scene.loop.run(scene.loop.now + 3.0)
             scene.start(int(leader[-1]))
         scene.loop.run(scene.loop.now + 80.0)
-        others = {key for key in scene.state.keys if not key.startswith("job/")}
-        assert others <= {"leader", "term", "duty"} | {f"image/{n}" for n in range(constants.IMAGE_CACHE_RECORDS)}
+        other_keys = {key for key in scene.state.keys if not key.startswith("job/")}
+        assert other_keys <= {"leader", "term", "duty"} | {f"image/{n}" for n in range(constants.IMAGE_CACHE_RECORDS)}
         sizes.append(len(str(scene.state.keys["duty"][0])))
     assert scene.all_end([f"wk-{n}" for n in range(20)]) and scene.broken == []
     assert max(sizes) < 1500
--- a/winglift/duties/external_operation.py
+++ b/winglift/duties/external_operation.py
@@ -72,7 +72,9 @@
         try:
             self.state = TRANSITIONS[self.state, event]
         except KeyError:
-            raise InvalidTransition(f"{event.name} in {self.state.name} of {self.name}") from None
+            raise InvalidTransition(
+                f"{event.name} is not allowed in state {self.state.name} of operation {self.name}"
+            ) from None
         if self.state not in OPEN and self.ended_at == math.inf:
             self.ended_at = now
         return self.state
--- a/winglift/duties/intent_log.py
+++ b/winglift/duties/intent_log.py
@@ -74,7 +74,7 @@
             try:
                 item = await self.state.get(intent_record.INTENT_LOG_KEY, urgent=True)
             except (RequestRejected, OutcomeUnknown) as err:
-                log.debug("intent log: not read, retrying: error=%s", err)
+                log.debug("intent log: read failed, retrying: error=%s", err)
                 await asyncio.sleep(constants.INTENT_LOG_RETRY_S)
                 continue
             self._version = item.version if item is not None else 0
--- a/winglift/model/cancellations.py
+++ b/winglift/model/cancellations.py
@@ -104,7 +104,7 @@
         # this age of the cancellation. A halt sent earlier, or an earlier answer without the task, proves nothing.
         self.settle_s = min(constants.CANCELLATION_SETTLE_S, cancel_s * constants.CANCELLATION_SETTLE_SHARE)
         self.by_job: dict[str, Cancellation] = {}
-        # job and machine of proofs made by this node that are still to be sent to the other nodes; job "": any job
+        # Job and machine of proofs by this node that are still to be sent to the other nodes; job "": machine deleted.
         self.unsent_proofs: list[tuple[str, str]] = []
 
     def add_record(self, ref: str, version: int, record: records.JobRecord, now: float) -> Cancellation | None:
--- a/winglift/model/cluster_state.py
+++ b/winglift/model/cluster_state.py
@@ -108,21 +108,21 @@
         if not job.is_open:
             return "job has ended"
         if machine.type is None or not machine.accepts_tasks:
-            return "machine not usable"
+            return "machine unavailable"
         if spec.types is not None and machine.type.name not in spec.types:
-            return "type"
+            return "machine type not allowed"
         if spec.zone is not None and machine.zone != spec.zone:
-            return "zone"
+            return "zone not allowed"
         if machine.spot and not spec.spot:
-            return "spot"
+            return "spot machine not allowed"
         zones = zone_counts(job)
         for zone, count in (extra or {}).items():
             zones[zone] = zones.get(zone, 0) + count
         if spec.one_zone and any(z != machine.zone for z, n in zones.items() if n):
-            return "other zone than the rest of the job"
+            return "not in the zone of the job's other tasks"
         # Tasks on machines of unknown zone may be in this zone.
         if spec.spread and zones.get(machine.zone, 0) + zones.get("", 0) + 1 > (spec.tasks + 1) // 2:
-            return "more than half of the job in one zone"
+            return "more than half of the job's tasks in one zone"
         if self.quota.tasks_allowed(spec) < 1:
             return "team limit"
         return None
@@ -230,7 +230,7 @@
                 continue  # released when its gang broke over another member on this machine
             self.transition_and_release(task, TaskEvent.MACHINE_GONE, now)
             if job.kind is Kind.GANG:
-                self.break_gang(job, now, f"{machine.name} is gone")
+                self.break_gang(job, now, f"{machine.name} was deleted")
         self.machines.pop(machine.name, None)
         self.changed = True
 
--- a/winglift/model/record_application.py
+++ b/winglift/model/record_application.py
@@ -176,6 +176,6 @@
         if task and task.state is TaskState.PROPOSED and task.assignment == assignment:
             task.move(TaskEvent.COMMIT, now)
             if not job.is_open or task.machine.state is not MachineState.UP:
-                cluster.request_stop(task, 0.0, now, "no longer wanted")
+                cluster.request_stop(task, 0.0, now, "job ended or machine unavailable")
     if not job.is_open and not job.active and not job.committed_assignments and not job.pending_write:
         cluster.forget_job(job)
--- a/winglift/model/records.py
+++ b/winglift/model/records.py
@@ -77,9 +77,9 @@
     and InvalidRecord for a state that no record may have.
     """
     if committed.is_final and record.state != committed.value:
-        raise FinalStateViolation(f"{ref} is recorded as {committed.name.lower()}")
+        raise FinalStateViolation(f"{ref} already has the final state {committed.name.lower()}")
     if record.state not in (JobState.OPEN.value, JobState.DONE.value, JobState.CANCELLED.value):
-        raise InvalidRecord(f"{ref}: {record.state} is no state of a record")
+        raise InvalidRecord(f"{ref}: {record.state} is not a valid record state")
     return Condition(JOB_PREFIX + ref, version), Put(JOB_PREFIX + ref, record)
 
 
--- a/winglift/model/task_reconciliation.py
+++ b/winglift/model/task_reconciliation.py
@@ -69,7 +69,7 @@
         return
     # Records may add up to more than a team's limit: a task had left its machine and its quota was given to another
     # job, but all nodes stopped before its own record was updated. Such a task must not be started again: once that
-    # brought a team to 25 GPUs with a limit of 24 (invariant 5: no placement exceeds a limit).
+    # brought a team to 25 GPUs with a limit of 24 (invariant 5: no placement exceeds the limit).
     over_limit = task.state is TaskState.UNKNOWN and cluster.quota.is_over_limit(job.spec.team)
     task.move(TaskEvent.ABSENT, now)
     gone = task.state is TaskState.GONE
@@ -79,11 +79,11 @@
         log.debug("task %s: no longer on machine, machine=%s", task.name, task.machine.name)
         cluster.release(task, now)
         if job.kind is Kind.GANG:
-            cluster.break_gang(job, now, f"{task.name} is gone")
+            cluster.break_gang(job, now, f"{task.name} is no longer on its machine")
     elif job.kind is Kind.GANG and any(t.state is TaskState.RUNNING for t in job.active.values()):
         task.move(TaskEvent.MACHINE_GONE, now)
         cluster.release(task, now)
-        cluster.break_gang(job, now, f"{task.name} is not there")
+        cluster.break_gang(job, now, f"{task.name} is missing from its machine")
 
 
 def _apply_exit(cluster: ClusterState, task: Task, task_report: worker_messages.TaskReport, now: float) -> None:
--- a/winglift/model/task_state.py
+++ b/winglift/model/task_state.py
@@ -74,4 +74,4 @@
     try:
         return TRANSITIONS[state, event]
     except KeyError:
-        raise InvalidTransition(f"{event.name} in {state.name}") from None
+        raise InvalidTransition(f"{event.name} is not allowed in state {state.name}") from None
