--- a/tests/test_cluster_state.py
+++ b/tests/test_cluster_state.py
@@ -15,7 +15,7 @@
 from winglift.model.report_reconciliation import due_commands, reconcile_report
 from winglift.model.task_state import TRANSITIONS, InvalidTransition, TaskEvent, TaskState, next_state
 from winglift.policy.failure_detector import FailureDetector
-from winglift.store.batcher import pack
+from winglift.store.batcher import build_job_record
 from winglift.wire import workers as worker_messages
 from winglift.wire.users import Kind
 
@@ -87,7 +87,7 @@
         for ref, (version, record) in self.committed_records.items():
             apply_record(self.cluster, ref, version, record, self.now)
         self.failure_detector = FailureDetector(self.cluster, settings().settings.workers, 0.0, "a")
-        self.failure_detector.entitled_since = self.now
+        self.failure_detector.leading_since = self.now
 
     def commit_record(self, ref: str, record: records.JobRecord) -> int:
         self.version += 1
@@ -133,7 +133,7 @@
         for job in list(self.cluster.jobs.values()):
             if not job.pending_write:
                 continue
-            record = pack(job)
+            record = build_job_record(job)
             if lost or self.committed_records[job.ref][0] != job.version:
                 apply_record(self.cluster, job.ref, *self.committed_records[job.ref], self.now)
                 continue
@@ -181,11 +181,11 @@
         """Reports from one zone stop arriving, or none. Its tasks run on until `expire_worker_lease` ends them."""
         self.partitioned_zone = zone
 
-    @rule(seconds=st.sampled_from([0.5, 3.0, 11.0, 40.0]), hears_all=st.booleans(), answered=st.booleans())
-    def evaluate_machines(self, seconds, hears_all, answered):
+    @rule(seconds=st.sampled_from([0.5, 3.0, 11.0, 40.0]), reaches_all_peers=st.booleans(), answered=st.booleans())
+    def evaluate_machines(self, seconds, reaches_all_peers, answered):
         """The leader deletes unresponsive machines; the deletions are executed, but not always answered."""
         self.now += seconds
-        for machine, _ in self.failure_detector.evaluate(self.now, 1e9 + self.now, True, hears_all).to_delete:
+        for machine, _ in self.failure_detector.evaluate(self.now, 1e9 + self.now, True, reaches_all_peers).to_delete:
             self.workers.pop(machine.name, None)
             if answered:
                 self.cluster.remove_machine(machine, self.now)
@@ -194,7 +194,7 @@
     def pause_leader(self, seconds):
         """The leader resumes after a pause with a valid lease."""
         self.now += seconds
-        self.failure_detector.entitled_since = self.now
+        self.failure_detector.leading_since = self.now
 
     @rule()
     def deliver_delayed_report(self):
@@ -288,7 +288,7 @@
     assert job is not None
     places = [(0, cluster.machines["vm-0"]), (1, cluster.machines["vm-0"]), (2, cluster.machines["vm-2"])][:tasks]
     assert cluster.propose_placement(job, places, 0.0)
-    apply_commit(cluster, job, 12, pack(job), 0.0)
+    apply_commit(cluster, job, 12, build_job_record(job), 0.0)
     return cluster, first, second
 
 
@@ -296,7 +296,7 @@
     """Members of large gangs share machines. The report that showed the loss of one raised an error for the other."""
     before, first, second = gang_on_shared_machine(3)
     cluster = ClusterState(settings(), {"g4": TYPE}, 1)
-    apply_record(cluster, "wk-1", 12, pack(before.jobs["wk-1"]), 0.0)
+    apply_record(cluster, "wk-1", 12, build_job_record(before.jobs["wk-1"]), 0.0)
     second.tasks["wk-1/2", 1] = "running"
     for worker in (first, second, first):
         assert reconcile_report(cluster, worker.report(), 1.0) is not None
@@ -335,11 +335,11 @@
     leadership.move(RoleEvent.CAMPAIGN)
     leadership.move(RoleEvent.WON)
     leadership.extend_lease(100.0, 3.0)
-    assert leadership.entitled(102.0) and not leadership.entitled(103.0)
+    assert leadership.has_valid_lease(102.0) and not leadership.has_valid_lease(103.0)
     leadership.move(RoleEvent.OVERDUE)
-    assert leadership.role is Role.DOUBTFUL and not leadership.entitled(101.0)
+    assert leadership.role is Role.LEASE_IN_DOUBT and not leadership.has_valid_lease(101.0)
     leadership.move(RoleEvent.RENEWED)
-    assert leadership.entitled(101.0)
+    assert leadership.has_valid_lease(101.0)
     leadership.move(RoleEvent.LOST)
     leadership.move(RoleEvent.RENEWED)
     assert leadership.role is Role.FOLLOWER
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -21,14 +21,14 @@
 from winglift.model.task_state import InvalidTransition
 from winglift.store.client import Health, OutcomeUnknown, RequestRejected, StateClient
 from winglift.wire import state as state_messages
-from winglift.wire.cloud import Rent
+from winglift.wire.cloud import RentRequest
 
 LIMITS = settings().settings.state
 
 
 def rental(number: int, count: int = 2) -> ExternalOperation:
     return ExternalOperation(
-        f"t3-{number}", 1000.0 + number, Rent(f"t3-{number}", "g4", "ab"[number % 2], False, count)
+        f"t3-{number}", 1000.0 + number, RentRequest(f"t3-{number}", "g4", "ab"[number % 2], False, count)
     )
 
 
@@ -69,11 +69,11 @@
         elif step == "again":  # the node is elected again: these duties belong to the previous term
             leadership.term += 1
         else:
-            if step is RoleEvent.RENEWED and leadership.role in (Role.LEADER, Role.DOUBTFUL):
+            if step is RoleEvent.RENEWED and leadership.role in (Role.LEADER, Role.LEASE_IN_DOUBT):
                 leadership.extend_lease(now, 3.0)
             leadership.move(step)
         duties.sync_with_lease()
-        lost = lost or leadership.role not in (Role.LEADER, Role.DOUBTFUL) or leadership.term != 3
+        lost = lost or leadership.role not in (Role.LEADER, Role.LEASE_IN_DOUBT) or leadership.term != 3
         may = duties.may_act(DutyName.CLOUD_OPERATIONS, now)
         assert may == (known and not lost and leadership.role is Role.LEADER and now < leadership.valid_until)
         assert duties[DutyName.CLOUD_OPERATIONS].state in (
@@ -154,7 +154,7 @@
     def health(self) -> Health:
         return Health.GOOD
 
-    def writes_free(self) -> int:
+    def available_writes(self) -> int:
         return 100
 
     async def get(self, key, urgent=False):
@@ -209,7 +209,7 @@
 
         async def work() -> None:
             for operation in operations:
-                log.intend(operation)
+                log.add_intent(operation)
                 if service.delayed:
                     service.apply(service.delayed.pop(0))  # a delayed write of an earlier operation
                 await log.persist([operation])
@@ -222,7 +222,7 @@
                 )
             service.leader = 99
             with pytest.raises(FenceLost):
-                await log.persist([log.intend(rental(50))])
+                await log.persist([log.add_intent(rental(50))])
             assert all(isinstance(service.apply(txn), state_messages.Conflict) for txn in service.delayed)
 
         await run_with_log(log, work())
@@ -239,7 +239,7 @@
         service.plan = ["late"]
         log = intent_log(service)
         await log.load()
-        log.intend(rental(1))
+        log.add_intent(rental(1))
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.05):
                 await run_with_log(log, log.persist(log.rentals.values()))
@@ -267,8 +267,8 @@
         log = intent_log(service)
 
         async def work() -> None:
-            await log.persist([log.intend(rental(1))])
-            await log.persist([log.intend(rental(2))])
+            await log.persist([log.add_intent(rental(1))])
+            await log.persist([log.add_intent(rental(2))])
             if not guarded:
                 service.delayed[0].conditions.pop()
             assert isinstance(service.apply(service.delayed[0]), state_messages.Conflict) == guarded
@@ -288,11 +288,11 @@
         deletions = [ExternalOperation(f"m{n * 7919:07d}x", float(n)) for n in range(600)]  # names that make no ranges
 
         async def work() -> None:
-            rentals = [log.intend(rental(n)) for n in range(12)]
+            rentals = [log.add_intent(rental(n)) for n in range(12)]
             await log.persist(rentals)
             assert service.writes == 1
             for operation in deletions:
-                log.intend(operation)
+                log.add_intent(operation)
             pending = asyncio.ensure_future(log.persist(deletions))
             await asyncio.sleep(0.02)
             recorded = [
@@ -324,14 +324,14 @@
         log = intent_log(service)
 
         async def work() -> None:
-            operation = log.intend(rental(1, count=3))
+            operation = log.add_intent(rental(1, count=3))
             await log.persist([operation])
             operation.move(external_operation.OperationEvent.SEND, clock[0])
             operation.machines = ("vm-000001", "vm-000002", "vm-000009")
             log.complete(operation, clock[0])
             for elapsed_s, expected in ((7.5, True), (9.0, False)):
                 clock[0] = 1000.0 + elapsed_s
-                await log.persist([log.intend(ExternalOperation(f"vm-{elapsed_s}", clock[0]))])
+                await log.persist([log.add_intent(ExternalOperation(f"vm-{elapsed_s}", clock[0]))])
                 successor_log = intent_log(service, 4)
                 await successor_log.load()
                 inherited_rental = successor_log.rentals.get("t3-1")
@@ -357,7 +357,7 @@
         service = FakeStateService()
         service.value, service.version = value, 5
         log = intent_log(service)
-        await run_with_log(log, log.persist([log.intend(rental(1))]))
+        await run_with_log(log, log.persist([log.add_intent(rental(1))]))
         assert intent_record.decode(service.value).rentals[0].name == "t3-1"
 
     simulated(scenario())
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -18,7 +18,7 @@
 from winglift.policy import snapshot as policy_snapshot
 from winglift.policy.plan import make_plan
 from winglift.policy.renting import Renting
-from winglift.store.batcher import pack
+from winglift.store.batcher import build_job_record
 from winglift.wire import workers as worker_messages
 from winglift.wire.users import Kind
 
@@ -69,7 +69,7 @@
     assert failure_attribution.job_is_suspect(job, 1.0) and all(
         failure_attribution.machine_is_faulty(m, 1.0) for m in bad
     )
-    failure_attribution.exonerate_jobs_on(bad[0], 1.0)
+    failure_attribution.clear_job_failures_on(bad[0], 1.0)
     assert not failure_attribution.job_is_suspect(job, 1.0) and job.retry_not_before == 1.0
 
 
@@ -85,7 +85,7 @@
     host = cluster.machines[name]
     attempt = job.next_attempt
     assert cluster.propose_placement(job, [(index, host)], now)
-    apply_commit(cluster, job, job.version + 1, pack(job), now)
+    apply_commit(cluster, job, job.version + 1, build_job_record(job), now)
     for phase, why in ((worker_messages.Phase.RUNNING, None), (worker_messages.Phase.EXITED, "error")):
         seq += 1
         report = worker_messages.Report(
@@ -150,18 +150,18 @@
 
 
 def test_overdue_machines_mark_their_pool_as_failing_until_a_later_one_boots_in_time():
-    tracker, usual = BootTracker(), constants.BOOT_USUAL * TYPE.boot_s
+    tracker, usual = BootTracker(), constants.BOOT_EXPECTED_RATIO * TYPE.boot_s
     overdue = [machine(f"vm-{i}", 0.0, MachineState.BOOTING) for i in range(constants.FAILING_POOL_MACHINES)]
     assert not tracker.detect_failing_pools(overdue, usual - 1) and not boot_overdue(overdue[0], usual - 1)
     assert tracker.detect_failing_pools(overdue, usual + 1) == {("g4", "a")} and boot_overdue(overdue[0], usual + 1)
     now = usual + 2
-    assert tracker.probe_allowance([TYPE], overdue, [], now) == {("g4", "a"): constants.FAILING_POOL_PROBES}
+    assert tracker.probe_allowance([TYPE], overdue, [], now) == {("g4", "a"): constants.FAILING_POOL_PROBES_MAX}
     probe = machine("vm-9", now, MachineState.BOOTING)
     assert tracker.probe_allowance([TYPE], [*overdue, probe], [], now) == {("g4", "a"): 0}
     assert tracker.probe_allowance([TYPE], overdue, [("g4", "a")], now) == {("g4", "a"): 0}
     # An overdue machine that boots after all does not show that the pool has recovered.
-    assert not tracker.boot_completed(overdue[0], now) and tracker.failing_since
-    assert tracker.boot_completed(probe, now + TYPE.boot_s) and not tracker.failing_since
+    assert not tracker.record_boot(overdue[0], now) and tracker.failing_since
+    assert tracker.record_boot(probe, now + TYPE.boot_s) and not tracker.failing_since
     # Overdue machines rented before one that booted in time don't make the pool fail.
     assert not tracker.detect_failing_pools(overdue, now + 100)
 
@@ -194,14 +194,14 @@
     replacements filled the cloud's capacity with machines that did not boot.
     """
     tracker, late = BootTracker(), [machine(f"vm-{i}", 0.0, MachineState.BOOTING, "ab"[i % 2]) for i in range(20)]
-    assert {tracker.boot_timeout_s(m, [TYPE]) for m in late} == {constants.BOOT_TIMEOUT * TYPE.boot_s}
-    assert not any(tracker.is_expected(m, [TYPE], 100.0) for m in late)
+    assert {tracker.boot_timeout_s(m, [TYPE]) for m in late} == {constants.BOOT_TIMEOUT_RATIO * TYPE.boot_s}
+    assert not any(tracker.is_boot_expected(m, [TYPE], 100.0) for m in late)
     tracker.detect_failing_pools(late, 100.0)
     assert tracker.all_pools_failing([TYPE]) and tracker.probe_allowance([TYPE], late, [], 100.0) == {}
-    assert all(tracker.is_expected(m, [TYPE], 100.0) for m in late)
+    assert all(tracker.is_boot_expected(m, [TYPE], 100.0) for m in late)
     assert {tracker.boot_timeout_s(m, [TYPE]) / TYPE.boot_s for m in late} == {
-        constants.BOOT_TIMEOUT,
-        constants.BOOT_TIMEOUT_FAILING,
+        constants.BOOT_TIMEOUT_RATIO,
+        constants.FAILING_POOL_BOOT_TIMEOUT_RATIO,
     }
 
 
@@ -217,16 +217,19 @@
         failure_attribution.record_failure(job, cluster.machines[name])
     job.failed_rounds = failures
     backoff = failure_attribution.retry_delay_s(job, 0.0)
-    assert backoff + constants.SOUND_RUN_S + constants.IDLE_CYCLE_S < 90.0 and backoff < constants.AVOID_S
+    assert (
+        backoff + constants.SOUND_JOB_RUN_MIN_S + constants.IDLE_CYCLE_INTERVAL_S < 90.0
+        and backoff < constants.MACHINE_AVOIDANCE_S
+    )
     snapshot_builder = fleet.fresh_view()
     job.retry_not_before = fleet.now + backoff
     assert snapshot_builder.demands.demand(job, fleet.now, NOW, False) is None
     job.unplaced_since = fleet.now
     first = snapshot_builder.demands.demand(job, job.retry_not_before, NOW, False)
     assert first is not None and first.avoided_machines == frozenset(job.failed_on)
-    later = snapshot_builder.demands.demand(job, fleet.now + constants.AVOID_S, NOW, False)
+    later = snapshot_builder.demands.demand(job, fleet.now + constants.MACHINE_AVOIDANCE_S, NOW, False)
     assert later is not None and later.indices and not later.avoided_machines
-    assert constants.AVOID_S + constants.SOUND_RUN_S + constants.IDLE_CYCLE_S < 90.0
+    assert constants.MACHINE_AVOIDANCE_S + constants.SOUND_JOB_RUN_MIN_S + constants.IDLE_CYCLE_INTERVAL_S < 90.0
 
 
 @given(st.lists(st.floats(0.0, 3.0), min_size=2, max_size=40))
@@ -239,9 +242,11 @@
     job = apply_record(cluster, "wk-1", 5, records.new_record(spec("wk-1", tasks=count, gpus=0.0), 0.0), 0.0)
     assert job is not None
     assert cluster.propose_placement(job, [(i, cluster.machines[f"vm-{i}"]) for i in range(count)], 0.0)
-    apply_commit(cluster, job, 6, pack(job), 0.0)
+    apply_commit(cluster, job, 6, build_job_record(job), 0.0)
     for i, when in sorted(enumerate(times), key=lambda pair: pair[1]):
-        failed = worker_messages.TaskReport(f"wk-1/{i}", 1, worker_messages.Phase.EXITED, worker_messages.Why.ERROR)
+        failed = worker_messages.TaskReport(
+            f"wk-1/{i}", 1, worker_messages.Phase.EXITED, worker_messages.ExitReason.ERROR
+        )
         report = worker_messages.Report(
             machine=f"vm-{i}", addr="", type="g4", zone="a", spot=False, session=1, seq=1, token=1, tasks=[failed]
         )
--- a/tests/test_garbage_collection.py
+++ b/tests/test_garbage_collection.py
@@ -18,7 +18,7 @@
 from winglift.model.cluster_state import ClusterState
 from winglift.model.leadership import Leadership, Role
 from winglift.store.client import StateClient
-from winglift.wire.flows import FlowState, FlowSubmission, How
+from winglift.wire.flows import FlowState, FlowSubmission, StepOutcome
 
 
 class CollectorNode:
@@ -97,7 +97,7 @@
 
 def test_steps_of_workflows_that_ended_a_week_ago_are_removed_and_their_final_states_stay():
     node = CollectorNode()
-    old_time, recent_time = EPOCH - constants.GC_FLOW_STEPS_AGE_S - 3600.0, EPOCH - 3600.0
+    old_time, recent_time = EPOCH - constants.GC_FLOW_STEP_RETENTION_S - 3600.0, EPOCH - 3600.0
     heads = {
         "fl-1": (old_time, FlowState.DONE, old_time),
         "fl-2": (old_time, FlowState.DONE, recent_time),
@@ -108,7 +108,7 @@
         sub = FlowSubmission(ref=ref, team="red", plan="p", order="o")
         node.write(records.HEAD + ref, records.Head(sub, submitted, state, outputs="digest"))
         for number in range(10):
-            node.write(f"{records.step_prefix(ref)}{number}", records.StepRecord(f"s{number}", How.DONE, ended))
+            node.write(f"{records.step_prefix(ref)}{number}", records.StepRecord(f"s{number}", StepOutcome.DONE, ended))
     node.write(f"{records.HEAD}fl-5", {"foreign": 1})
     node.collector.sweepers.append(OldSteps(node.state))
     node.run_collections(runs=1 + round(2 * constants.GC_FLOWS_INTERVAL_S / constants.GC_INTERVAL_S))
--- a/winglift/duties/duty.py
+++ b/winglift/duties/duty.py
@@ -121,7 +121,7 @@
     def sync_with_lease(self) -> None:
         """Apply the current state of the lease to all duties."""
         is_leader = self.leadership.role is Role.LEADER and self.leadership.term == self.fence.term
-        in_doubt = self.leadership.role is Role.DOUBTFUL and self.leadership.term == self.fence.term
+        in_doubt = self.leadership.role is Role.LEASE_IN_DOUBT and self.leadership.term == self.fence.term
         event = DutyEvent.RENEW if is_leader else DutyEvent.OVERDUE if in_doubt else DutyEvent.LOSE
         for duty in self._all.values():
             duty.move(event)
@@ -134,11 +134,13 @@
     def may_act(self, name: DutyName, now: float) -> bool:
         """Whether this duty may be carried out at monotonic time `now`.
 
-        Callers must check this after every wait, with a new reading of the clock. `Leadership.entitled` counts the
+        Callers must check this after every wait, with a new reading of the clock. `Leadership.has_valid_lease` counts the
         lease from when its renewal was sent, allows for a clock that runs slow (`CLOCK_DRIFT`), and ends the lease
-        `LEADER_MARGIN_S` early to cover the time between this check and the sending.
+        `LEADER_LEASE_MARGIN_S` early to cover the time between this check and the sending.
         """
         duty = self._all[name]
         return (
-            duty.state is DutyState.HELD and self.leadership.term == self.fence.term and self.leadership.entitled(now)
+            duty.state is DutyState.HELD
+            and self.leadership.term == self.fence.term
+            and self.leadership.has_valid_lease(now)
         )
--- a/winglift/duties/external_operation.py
+++ b/winglift/duties/external_operation.py
@@ -12,7 +12,7 @@
 from enum import Enum, auto
 
 from ..model.task_state import InvalidTransition
-from ..wire.cloud import Rent
+from ..wire.cloud import RentRequest
 
 
 class OperationState(Enum):
@@ -61,7 +61,7 @@
 
     name: str  # name of the rental, or of the machine to be deleted
     intended_at: float  # monotonic time in s; for an inherited rental, computed from times of day
-    request: Rent | None = None  # the rental request; None for a deletion
+    request: RentRequest | None = None  # the rental request; None for a deletion
     state: OperationState = OperationState.INTENDED
     machines: tuple[str, ...] = ()  # the machines that a settled rental has provided
     ended_at: float = math.inf
--- a/winglift/duties/garbage_collection.py
+++ b/winglift/duties/garbage_collection.py
@@ -40,15 +40,15 @@
             *(state_messages.Condition(put.key, version) for put, version in self.puts),
         ]
         return state_messages.Transaction(
-            conditions, [*(state_messages.Drop(key) for key, _ in self.keys), *(put for put, _ in self.puts)]
+            conditions, [*(state_messages.Delete(key) for key, _ in self.keys), *(put for put, _ in self.puts)]
         )
 
 
 class Sweeper(Protocol):
     """Finds one kind of garbage."""
 
-    async def find(self, most: int) -> Iterable[Removal]:
-        """The removals that may be made now, each with at most `most` changes.
+    async def find(self, max_changes: int) -> Iterable[Removal]:
+        """The removals that may be made now, each with at most `max_changes` changes.
 
         Raises RequestRejected or OutcomeUnknown.
         """
@@ -67,7 +67,7 @@
     def _has_spare_budget(self) -> bool:
         """Whether this node holds the duty, and there is write budget that no starts, completions or users need."""
         return self.duties.may_act(DutyName.GARBAGE_COLLECTION, monotonic_time()) and self.state.has_spare_writes(
-            constants.GC_WRITES_KEPT
+            constants.GC_SPARE_WRITES_SHARE
         )
 
     async def run(self) -> None:
@@ -84,7 +84,7 @@
                 while not self._has_spare_budget():
                     if not self.duties.may_act(DutyName.GARBAGE_COLLECTION, monotonic_time()):
                         return
-                    await asyncio.sleep(constants.WRITE_AGAIN_S)
+                    await asyncio.sleep(constants.WRITE_RETRY_DELAY_S)
                 # Every write of a duty is conditional on the leadership key at its revision (invariant 1).
                 result = await self.state.commit(removal.transaction(self.duties.fence.condition()))
                 if isinstance(result, state_messages.Committed):
@@ -100,7 +100,7 @@
         self.state = state
         self.cluster = cluster
 
-    async def find(self, most: int) -> list[Removal]:
+    async def find(self, max_changes: int) -> list[Removal]:
         """One removal for each image cache record all of whose machines have been deleted."""
         items, _ = await self.state.list(image_cache_record.PREFIX)
         stale = [
@@ -108,4 +108,4 @@
             for item in items
             if not any(name in self.cluster.machines for name in image_cache_record.unpack([item.value]))
         ]
-        return [Removal("images of deleted machines", ((item.key, item.version),)) for item in stale[:most]]
+        return [Removal("images of deleted machines", ((item.key, item.version),)) for item in stale[:max_changes]]
--- a/winglift/duties/intent_log.py
+++ b/winglift/duties/intent_log.py
@@ -19,7 +19,7 @@
 from ..net.runtime import monotonic_time, wall_time
 from ..store.client import InvalidRequest, LeaseExpired, OutcomeUnknown, RequestRejected, StateClient
 from ..wire import state as state_messages
-from ..wire.cloud import Rent
+from ..wire.cloud import RentRequest
 from . import intent_record
 from .duty import Fence
 from .external_operation import ExternalOperation, OperationEvent, OperationState
@@ -54,7 +54,7 @@
         self.rentals: dict[str, ExternalOperation] = {}
         self.deletions: dict[str, ExternalOperation] = {}
         self._add_failover_hints = add_failover_hints  # fills in the record's optional fields
-        self._most_bytes = int(limits.value_kb * 1024) - constants.RECORD_SPARE_BYTES
+        self._most_bytes = int(limits.value_kb * 1024) - constants.RECORD_HEADROOM_BYTES
         # The cloud's lists are out of date by up to twice their lag. So every list requested from now on shows the
         # operations that ended longer ago than that.
         self._keep_s = 2 * list_lag_s + constants.INTENT_LOG_KEEP_MARGIN_S
@@ -75,7 +75,7 @@
                 item = await self.state.get(intent_record.INTENT_LOG_KEY, urgent=True)
             except (RequestRejected, OutcomeUnknown) as err:
                 log.debug("intent log: read failed, retrying: error=%s", err)
-                await asyncio.sleep(constants.INTENT_LOG_RETRY_S)
+                await asyncio.sleep(constants.INTENT_LOG_RETRY_DELAY_S)
                 continue
             self._version = item.version if item is not None else 0
             if item is not None:
@@ -106,7 +106,7 @@
         """
         if not (0 <= intent.type < len(record.types) and 0 <= intent.zone < len(record.zones)):
             raise InvalidRecord(f"intent record: rental {intent.name} has an invalid type or zone index")
-        request = Rent(
+        request = RentRequest(
             intent.name, record.types[intent.type], record.zones[intent.zone], bool(intent.spot), intent.count
         )
         intended_at = now - max(0.0, wall_now - record.base_time - intent.at_s)
@@ -120,7 +120,7 @@
 
     # -- writing -------------------------------------------------------------------------------
 
-    def intend(self, operation: ExternalOperation) -> ExternalOperation:
+    def add_intent(self, operation: ExternalOperation) -> ExternalOperation:
         """Add an operation without recording it yet; returns the existing one if its name was added before."""
         operations = self.rentals if operation.request is not None else self.deletions
         return operations.setdefault(operation.name, operation)
@@ -159,7 +159,7 @@
         """
         while not self.fence_lost:
             try:
-                async with asyncio.timeout(constants.INTENT_LOG_POLL_S):
+                async with asyncio.timeout(constants.INTENT_LOG_POLL_INTERVAL_S):
                     await self._write_requested.wait()
             except TimeoutError:
                 pass
@@ -170,7 +170,7 @@
                 await self._write(required=True)
             elif (
                 monotonic_time() - self._written_at >= constants.INTENT_LOG_WRITE_INTERVAL_S
-                and self.state.has_spare_writes(constants.START_WRITES_KEPT)
+                and self.state.has_spare_writes(constants.PROGRESS_SPARE_WRITES_SHARE)
             ):
                 await self._write(required=False)
 
@@ -188,7 +188,7 @@
             [state_messages.Put(intent_record.INTENT_LOG_KEY, msgspec.Raw(value))],
         )
         try:
-            result = await self.state.commit(txn, max_wait=constants.INTENT_LOG_WAIT_S)
+            result = await self.state.commit(txn, max_wait=constants.INTENT_LOG_TOKEN_TIMEOUT_S)
         except (RequestRejected, LeaseExpired) as err:
             level = logging.WARNING if isinstance(err, InvalidRequest) else logging.DEBUG
             log.log(level, "intent log: write rejected: error=%s", err)
@@ -248,7 +248,7 @@
                 del operations[name]
 
     async def _retry_later(self) -> None:
-        await asyncio.sleep(constants.INTENT_LOG_RETRY_S)
+        await asyncio.sleep(constants.INTENT_LOG_RETRY_DELAY_S)
         self._write_requested.set()
 
     async def _fence_lost(self) -> None:
@@ -307,10 +307,10 @@
         return low
 
     def _fits(self, operations: list[ExternalOperation]) -> bool:
-        """Whether these operations fit into one record that also has `FAILOVER_HINTS_BYTES` left for hints."""
+        """Whether these operations fit into one record that also has `FAILOVER_HINTS_RESERVED_BYTES` left for hints."""
         return (
             len(intent_record.encode(self._record_without_hints(operations)))
-            <= self._most_bytes - constants.FAILOVER_HINTS_BYTES
+            <= self._most_bytes - constants.FAILOVER_HINTS_RESERVED_BYTES
         )
 
     def _record_without_hints(self, operations: list[ExternalOperation]) -> intent_record.IntentRecord:
@@ -338,7 +338,7 @@
 
 
 def _rental_intent(
-    operation: ExternalOperation, request: Rent, intended_at_s: int, types: dict[str, int], zones: dict[str, int]
+    operation: ExternalOperation, request: RentRequest, intended_at_s: int, types: dict[str, int], zones: dict[str, int]
 ) -> intent_record.RentalIntent:
     """The entry of a rental in the record. Adds its type and zone to the tables `types` and `zones` where missing."""
     return intent_record.RentalIntent(
--- a/winglift/model/boot_tracker.py
+++ b/winglift/model/boot_tracker.py
@@ -22,7 +22,7 @@
 
 def usual_boot_s(machine: Machine) -> float:
     """Upper bound in s of the usual boot time of the machine's type."""
-    return constants.BOOT_USUAL * (machine.type.boot_s if machine.type else constants.BOOT_DEFAULT_S)
+    return constants.BOOT_EXPECTED_RATIO * (machine.type.boot_s if machine.type else constants.BOOT_DEFAULT_S)
 
 
 def boot_overdue(machine: Machine, now: float) -> bool:
@@ -41,7 +41,7 @@
     # Of the machines that booted in time: when the most recently rented one was rented.
     _latest_timely_rental: dict[CapacityPool, float] = field(default_factory=dict)
 
-    def boot_completed(self, machine: Machine, now: float) -> bool:
+    def record_boot(self, machine: Machine, now: float) -> bool:
         """Record a machine's first report; return whether it shows that the machine's pool has recovered."""
         pool = machine.type_name, machine.zone
         if now - machine.rented_at > usual_boot_s(machine):
@@ -89,11 +89,11 @@
         boot_s = machine.type.boot_s if machine.type else constants.BOOT_DEFAULT_S
         keep_longer = self.all_pools_failing(types) and crc32(machine.name.encode()) % 2
         return max(
-            constants.FIRST_PAID_S,
-            boot_s * (constants.BOOT_TIMEOUT_FAILING if keep_longer else constants.BOOT_TIMEOUT),
+            constants.MINIMUM_CHARGE_S,
+            boot_s * (constants.FAILING_POOL_BOOT_TIMEOUT_RATIO if keep_longer else constants.BOOT_TIMEOUT_RATIO),
         )
 
-    def is_expected(self, machine: Machine, types: Iterable[MachineType], now: float) -> bool:
+    def is_boot_expected(self, machine: Machine, types: Iterable[MachineType], now: float) -> bool:
         """Whether tasks may be planned onto this booting machine.
 
         An overdue machine does not count, as a new one would be ready sooner, unless all pools fail. In that case
@@ -111,7 +111,7 @@
         """
         if not self.failing_since or self.all_pools_failing(types):
             return {}
-        remaining = {pool: constants.FAILING_POOL_PROBES for pool in self.failing_since}
+        remaining = {pool: constants.FAILING_POOL_PROBES_MAX for pool in self.failing_since}
         for pool in requested:
             if pool in remaining:
                 remaining[pool] -= 1
--- a/winglift/model/cancellations.py
+++ b/winglift/model/cancellations.py
@@ -156,7 +156,7 @@
             cancellation = self.by_job.get(key[0]) if key is not None else None
             if cancellation is None or task_report.phase is worker_messages.Phase.EXITED:
                 continue
-            commands.append(worker_messages.halt(task_report.task, task_report.attempt, 0))
+            commands.append(worker_messages.halt_command(task_report.task, task_report.attempt, 0))
             if report.machine not in cancellation.stop_commands:
                 # A start that was in flight took effect: the machine is no longer proven to hold none of its tasks.
                 cancellation.stop_commands[report.machine] = []
@@ -173,12 +173,12 @@
         """
         commands = self.on_report(report, now)
         listed_jobs = {command.task.partition("/")[0] for command in commands}
-        for cancellation in self.on_machine(report.machine):
+        for cancellation in self.for_machine(report.machine):
             if cancellation.ref not in listed_jobs and cancellation.min_age_s(sent_at) >= self.settle_s:
                 self.clear_machine(cancellation.ref, report.machine, now)
         return commands
 
-    def on_machine(self, machine: str) -> list[Cancellation]:
+    def for_machine(self, machine: str) -> list[Cancellation]:
         """The cancellations that may have tasks on this machine."""
         return [cancellation for cancellation in self.by_job.values() if machine in cancellation.stop_commands]
 
@@ -190,11 +190,11 @@
                 self.unsent_proofs.append((ref, machine))
             self._confirm_if_clear(cancellation, now)
 
-    def machine_deleted(self, machine: str, now: float, proven_by_peer: bool = False) -> None:
+    def on_machine_deleted(self, machine: str, now: float, proven_by_peer: bool = False) -> None:
         """Record that the cloud has confirmed a machine's deletion, which ends all tasks on it."""
         if not proven_by_peer:
             self.unsent_proofs.append(("", machine))
-        for cancellation in self.on_machine(machine):
+        for cancellation in self.for_machine(machine):
             self.clear_machine(cancellation.ref, machine, now, proven_by_peer=True)
 
     def clear_job(self, ref: str, now: float) -> None:
@@ -222,10 +222,14 @@
         deadline, when a deletion would otherwise come too late. `wall`: time of day.
         """
         names: dict[str, None] = {}  # used as an ordered set
-        after_s = self.cancel_s * (constants.CANCEL_DELETE_SHARE + rank * constants.CANCELLATION_RANK_SHARE)
+        after_s = self.cancel_s * (constants.CANCELLATION_DELETE_SHARE + rank * constants.CANCELLATION_RANK_DELAY_SHARE)
         for cancellation in self.outstanding():
             age = cancellation.max_age_s(wall, self.skew_s)
-            late = self.cancel_s * constants.CANCEL_LAST_SHARE < age < self.cancel_s * constants.CANCEL_OVER_SHARE
+            late = (
+                self.cancel_s * constants.CANCELLATION_URGENT_SHARE
+                < age
+                < self.cancel_s * constants.CANCELLATION_OVERDUE_RATIO
+            )
             if age > after_s and (late or now - cancellation.state_since > probe_wait_s):
                 names.update(dict.fromkeys(cancellation.stop_commands))
         return list(names)
@@ -246,7 +250,7 @@
     try:
         for machine, attempt, text in record.assignments:
             stop_commands.setdefault(machine, []).extend(
-                worker_messages.halt(f"{ref}/{number}", attempt, 0) for number in records.unpack_ranges(text)
+                worker_messages.halt_command(f"{ref}/{number}", attempt, 0) for number in records.unpack_ranges(text)
             )
     except ValueError as err:
         raise records.InvalidRecord(str(err)) from None
--- a/winglift/model/cluster_state.py
+++ b/winglift/model/cluster_state.py
@@ -51,7 +51,7 @@
         # An urgent job (one without a due time) was added, or a service lost a replica.
         self.on_urgent: Callable[[], None] = lambda: None
         # All tasks of a job are done, which must be recorded soon.
-        self.on_ending: Callable[[], None] = lambda: None
+        self.on_all_tasks_done: Callable[[], None] = lambda: None
 
     # -- assignments ---------------------------------------------------------------------------
 
@@ -93,7 +93,7 @@
         """
         self.jobs.pop(job.ref, None)
         self.finished_versions[job.ref] = job.version
-        while len(self.finished_versions) > constants.FINAL_STATES_CACHED:
+        while len(self.finished_versions) > constants.FINAL_STATE_CACHE_MAX:
             self.finished_versions.popitem(last=False)
 
     # -- decisions -----------------------------------------------------------------------------
@@ -215,7 +215,7 @@
         if machine.type is None:
             machine.type = self.types.get(type_name)
         for image, gb in self.inherited_images.pop(name, {}).items():
-            machine.remember_image(image, gb)
+            machine.track_image(image, gb)
         return machine
 
     # -- machines ------------------------------------------------------------------------------
--- a/winglift/model/entities.py
+++ b/winglift/model/entities.py
@@ -340,7 +340,7 @@
         """Whether tasks may be placed on it."""
         return self.state is MachineState.UP
 
-    def remember_image(self, image: str, gb: float) -> None:
+    def track_image(self, image: str, gb: float) -> None:
         """Record the use of an image by the worker, whose cache keeps the most recently used images.
 
         `gb`: the image's size.
--- a/winglift/model/failure_attribution.py
+++ b/winglift/model/failure_attribution.py
@@ -13,9 +13,11 @@
 
 
 def job_is_sound(job: Job, now: float) -> bool:
-    """Whether the job is known to be able to run: a task of it has completed, or has run for `SOUND_RUN_S`."""
+    """Whether the job is known to be able to run: a task of it has completed, or has run for `SOUND_JOB_RUN_MIN_S`."""
     return job.has_completed_task or any(
-        t.state is TaskState.RUNNING and t.running_since is not None and now - t.running_since >= constants.SOUND_RUN_S
+        t.state is TaskState.RUNNING
+        and t.running_since is not None
+        and now - t.running_since >= constants.SOUND_JOB_RUN_MIN_S
         for t in job.active.values()
     )
 
@@ -44,7 +46,7 @@
     machine.attributed_failures[job] = machine.attributed_failures.get(job, 0) + 1
 
 
-def exonerate_jobs_on(machine: Machine, now: float) -> None:
+def clear_job_failures_on(machine: Machine, now: float) -> None:
     """Clear a faulty machine's failures from the jobs that failed there.
 
     A job that is no longer suspect may be retried at once.
@@ -65,5 +67,5 @@
 
 def retry_delay_s(job: Job, now: float) -> float:
     """The backoff in s after the job's latest round of failures."""
-    max_backoff_s = constants.BACKOFF_SUSPECT_S if job_is_suspect(job, now) else constants.BACKOFF_MAX_S
-    return min(max_backoff_s, constants.BACKOFF_FIRST_S * 2 ** min(job.failed_rounds, 10))
+    max_backoff_s = constants.SUSPECT_JOB_BACKOFF_MAX_S if job_is_suspect(job, now) else constants.START_BACKOFF_MAX_S
+    return min(max_backoff_s, constants.START_BACKOFF_INITIAL_S * 2 ** min(job.failed_rounds, 10))
--- a/winglift/model/job_state.py
+++ b/winglift/model/job_state.py
@@ -55,7 +55,7 @@
 class CompletedTasks:
     """The completed tasks of a job: all below `first_open`, and those in the set `above`.
 
-    The numbers in `above` are higher than `first_open` and less than `RECORD_WINDOW` beyond it.
+    The numbers in `above` are higher than `first_open` and less than `RECORD_WINDOW_TASKS` beyond it.
     """
 
     __slots__ = ("above", "count", "first_open")
@@ -86,4 +86,4 @@
 
     def startable_range(self) -> range:
         """The range of task numbers that may be started; the bitmap in the record covers no others."""
-        return range(self.first_open, min(self.count, self.first_open + constants.RECORD_WINDOW))
+        return range(self.first_open, min(self.count, self.first_open + constants.RECORD_WINDOW_TASKS))
--- a/winglift/model/leadership.py
+++ b/winglift/model/leadership.py
@@ -14,7 +14,7 @@
     FOLLOWER = auto()
     CAMPAIGNING = auto()
     LEADER = auto()  # holds the lease and has loaded the records
-    DOUBTFUL = auto()  # held the lease, which may have expired by its own clock: no decisions
+    LEASE_IN_DOUBT = auto()  # held the lease, which may have expired by its own clock: no decisions
 
 
 class RoleEvent(Enum):
@@ -32,12 +32,12 @@
     (_R.FOLLOWER, _E.CAMPAIGN): _R.CAMPAIGNING,
     (_R.CAMPAIGNING, _E.WON): _R.LEADER,
     (_R.CAMPAIGNING, _E.LOST): _R.FOLLOWER,
-    (_R.LEADER, _E.OVERDUE): _R.DOUBTFUL,
+    (_R.LEADER, _E.OVERDUE): _R.LEASE_IN_DOUBT,
     (_R.LEADER, _E.RENEWED): _R.LEADER,
-    (_R.DOUBTFUL, _E.RENEWED): _R.LEADER,
-    (_R.DOUBTFUL, _E.OVERDUE): _R.DOUBTFUL,
+    (_R.LEASE_IN_DOUBT, _E.RENEWED): _R.LEADER,
+    (_R.LEASE_IN_DOUBT, _E.OVERDUE): _R.LEASE_IN_DOUBT,
     (_R.LEADER, _E.LOST): _R.FOLLOWER,
-    (_R.DOUBTFUL, _E.LOST): _R.FOLLOWER,
+    (_R.LEASE_IN_DOUBT, _E.LOST): _R.FOLLOWER,
     (_R.FOLLOWER, _E.LOST): _R.FOLLOWER,
 }
 
@@ -66,9 +66,9 @@
         Subtracts the greatest possible clock drift, as this node's clock may be slow, and a safety margin.
         """
         self.valid_until = max(
-            self.valid_until, sent_at + ttl_s * (1 - 2 * constants.CLOCK_DRIFT) - constants.LEADER_MARGIN_S
+            self.valid_until, sent_at + ttl_s * (1 - 2 * constants.CLOCK_DRIFT) - constants.LEADER_LEASE_MARGIN_S
         )
 
-    def entitled(self, now: float) -> bool:
+    def has_valid_lease(self, now: float) -> bool:
         """Whether this node may make decisions and send commands now (invariant 1: at most one leader acts)."""
         return self.role is Role.LEADER and now < self.valid_until
--- a/winglift/model/records.py
+++ b/winglift/model/records.py
@@ -69,7 +69,7 @@
 _decoder = msgspec.json.Decoder(JobRecord)
 
 
-def record_change(ref: str, version: int, committed: JobState, record: JobRecord) -> tuple[Condition, Put]:
+def build_record_write(ref: str, version: int, committed: JobState, record: JobRecord) -> tuple[Condition, Put]:
     """Condition and put that write a job's record, whose state is `committed` at `version` (0: there is no record yet).
 
     All writes of job records are built here, so none can replace a recorded final state by another one (invariant 4),
--- a/winglift/model/report_reconciliation.py
+++ b/winglift/model/report_reconciliation.py
@@ -113,7 +113,7 @@
     """Mark a machine as UP on its first report under this term."""
     if machine.state not in (MachineState.BOOTING, MachineState.INHERITED):
         return
-    if machine.state is MachineState.BOOTING and cluster.boot_tracker.boot_completed(machine, now):
+    if machine.state is MachineState.BOOTING and cluster.boot_tracker.record_boot(machine, now):
         log.info("machine %s: booted in time, capacity pool recovered, zone=%s", machine.name, machine.zone)
     machine.move(MachineEvent.REPORT)
     machine.idle_since = now
@@ -160,7 +160,7 @@
                 task_report.task,
                 task_report.attempt,
             )
-            commands.append(worker_messages.halt(task_report.task, task_report.attempt, 0))
+            commands.append(worker_messages.halt_command(task_report.task, task_report.attempt, 0))
     return listed, commands
 
 
@@ -186,7 +186,7 @@
 def _commands_for_exited_tasks(
     cluster: ClusterState, machine: Machine, report: worker_messages.Report
 ) -> list[worker_messages.Command]:
-    """The `reap` commands for the exited tasks in a report whose exits are recorded."""
+    """The `reap_command` commands for the exited tasks in a report whose exits are recorded."""
     commands: list[worker_messages.Command] = []
     for task_report in report.tasks:
         key = task_report.key()
@@ -195,7 +195,7 @@
             and task_report.phase is worker_messages.Phase.EXITED
             and _may_remove_exited(cluster, key, machine, task_report.attempt)
         ):
-            commands.append(worker_messages.reap(task_report.task, task_report.attempt))
+            commands.append(worker_messages.reap_command(task_report.task, task_report.attempt))
     return commands
 
 
@@ -216,10 +216,10 @@
             log.info("machine %s: responsive again", machine.name)
         return
     if _session_lost_while_reporting(cluster, machine, new_session, now):
-        machine.unacknowledged_reports = constants.UNRESPONSIVE_REPORTS
+        machine.unacknowledged_reports = constants.UNACKNOWLEDGED_REPORTS_MAX
     elif sent:
         machine.unacknowledged_reports += 1
-    if machine.unacknowledged_reports >= constants.UNRESPONSIVE_REPORTS and machine.state is MachineState.UP:
+    if machine.unacknowledged_reports >= constants.UNACKNOWLEDGED_REPORTS_MAX and machine.state is MachineState.UP:
         machine.move(MachineEvent.COMMANDS_IGNORED)
         machine.unresponsive_since = now
         cluster.changed = True
@@ -284,9 +284,9 @@
             continue
         if task.stopping:
             if task.state in PRESENT and (task.state is not TaskState.SAVING or task.stop_grace_s == 0):
-                commands.append(worker_messages.halt(task.name, task.attempt, task.stop_grace_s or 0))
+                commands.append(worker_messages.halt_command(task.name, task.attempt, task.stop_grace_s or 0))
         elif task.state is TaskState.COMMITTED and task.job.is_open and machine.accepts_tasks:
-            commands.append(worker_messages.run(task.name, task.attempt))
+            commands.append(worker_messages.run_command(task.name, task.attempt))
             task.sent_session, task.sent_seq = report.session, report.seq
             task.move(TaskEvent.SEND, now)
     return commands
--- a/winglift/model/task_reconciliation.py
+++ b/winglift/model/task_reconciliation.py
@@ -30,10 +30,10 @@
 _RUNTIME_RATIO_MAX = 5.0
 
 _BACKOFF_REASONS = (
-    worker_messages.Why.ERROR,
-    worker_messages.Why.NO_ROOM,
-    worker_messages.Why.BUSY,
-    worker_messages.Why.UNKNOWN,
+    worker_messages.ExitReason.ERROR,
+    worker_messages.ExitReason.NO_ROOM,
+    worker_messages.ExitReason.BUSY,
+    worker_messages.ExitReason.UNKNOWN,
 )
 
 
@@ -55,7 +55,7 @@
             task.state.name,
         )
         if task.state in (TaskState.RUNNING, TaskState.WAITING):
-            machine.remember_image(job.spec.image, job.spec.image_gb)
+            machine.track_image(job.spec.image, job.spec.image_gb)
         if task.state is TaskState.RUNNING:
             job.gang_started = True
     if not job.is_open and not task.stopping and job.state is JobState.CANCELLED:
@@ -90,8 +90,8 @@
     job = task.job
     run_s = now - task.running_since if task.running_since is not None else None
     task.move(TaskEvent.SEEN_EXITED, now)
-    exit_reason = task_report.why or worker_messages.Why.ERROR
-    if exit_reason == worker_messages.Why.DONE:
+    exit_reason = task_report.why or worker_messages.ExitReason.ERROR
+    if exit_reason == worker_messages.ExitReason.DONE:
         _apply_completion(cluster, task, task_report, run_s, now)
     else:
         cluster.release(task, now)
@@ -113,7 +113,7 @@
     if job.done.is_complete() and job.is_open:
         job.move(JobEvent.COMPLETE)
         job.request_write(WritePriority.URGENT)
-        cluster.on_ending()
+        cluster.on_all_tasks_done()
         log.debug("job %s: all tasks done", job.ref)
     cluster.release(task, now)
     for name in list(job.failed_on):
@@ -139,13 +139,13 @@
 def _apply_failure(cluster: ClusterState, task: Task, exit_reason: str, now: float) -> None:
     job, machine = task.job, task.machine
     log.debug("task %s: exited, attempt=%d machine=%s reason=%s", task.name, task.attempt, machine.name, exit_reason)
-    if exit_reason == worker_messages.Why.ERROR:
+    if exit_reason == worker_messages.ExitReason.ERROR:
         _attribute_failure(cluster, job, machine, now)
     if exit_reason in _BACKOFF_REASONS:
         if now >= job.retry_not_before:
             # Tasks that fail together count as one round; otherwise eight of them led to the longest backoff at once.
             job.failed_rounds += 1
-        if exit_reason != worker_messages.Why.ERROR or failure_attribution.job_is_suspect(job, now):
+        if exit_reason != worker_messages.ExitReason.ERROR or failure_attribution.job_is_suspect(job, now):
             job.retry_not_before = max(job.retry_not_before, now + failure_attribution.retry_delay_s(job, now))
     if job.kind is Kind.GANG:
         cluster.break_gang(job, now, f"{task.name} ended: {exit_reason}")
@@ -168,7 +168,7 @@
         log.info(
             "machine %s: faulty, draining, failed_tasks=%d", machine.name, sum(machine.attributed_failures.values())
         )
-        failure_attribution.exonerate_jobs_on(machine, now)
+        failure_attribution.clear_job_failures_on(machine, now)
         machine.drain_reason = "faulty"
         machine.move(MachineEvent.DRAIN)
         cluster.changed = True
