--- a/winglift/duties/duty.py
+++ b/winglift/duties/duty.py
@@ -134,8 +134,8 @@
     def may_act(self, name: DutyName, now: float) -> bool:
         """Whether this duty may be carried out at monotonic time `now`.
 
-        Callers must check this after every wait, with a new reading of the clock. `Leadership.has_valid_lease` counts the
-        lease from when its renewal was sent, allows for a clock that runs slow (`CLOCK_DRIFT`), and ends the lease
+        Callers must check this after every wait, with a new reading of the clock. `Leadership.has_valid_lease` counts
+        the lease from when its renewal was sent, allows for a clock that runs slow (`CLOCK_DRIFT`), and ends the lease
         `LEADER_LEASE_MARGIN_S` early to cover the time between this check and the sending.
         """
         duty = self._all[name]
