--- a/tests/test_batcher.py
+++ b/tests/test_batcher.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from helpers import TYPE, settings, spec
+from helpers import MACHINE_TYPE, settings, spec
 
 from winglift.config.settings import State
 from winglift.duties.duty import Fence
@@ -66,7 +66,7 @@
 
 def make_batcher(jobs=4):
     state = FakeState()
-    cluster = ClusterState(settings(), {"g4": TYPE}, 1)
+    cluster = ClusterState(settings(), {"g4": MACHINE_TYPE}, 1)
     batcher = Batcher(state, settings().settings.state, cluster, Fence(1, 0))  # type: ignore[arg-type]
     machine = cluster.register_machine("vm-1", "g4", "a", False, 0.0, 0.0)
     machine.state = MachineState.UP
--- a/tests/test_cluster_state.py
+++ b/tests/test_cluster_state.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from helpers import TYPE, settings, spec
+from helpers import MACHINE_TYPE, settings, spec
 from hypothesis import given
 from hypothesis import settings as hsettings
 from hypothesis import strategies as st
@@ -83,7 +83,7 @@
         self.start_term()
 
     def start_term(self) -> None:
-        self.cluster = ClusterState(settings(), {"g4": TYPE}, self.term)
+        self.cluster = ClusterState(settings(), {"g4": MACHINE_TYPE}, self.term)
         for ref, (version, record) in self.committed_records.items():
             apply_record(self.cluster, ref, version, record, self.now)
         self.failure_detector = FailureDetector(self.cluster, settings().settings.workers, 0.0, "a")
@@ -278,7 +278,7 @@
 
 def gang_on_shared_machine(tasks: int) -> tuple[ClusterState, FakeWorker, FakeWorker]:
     """A gang with two members on vm-0 and a third one, if any, on vm-2; its starts are committed, but not sent."""
-    cluster = ClusterState(settings(), {"g4": TYPE}, 1)
+    cluster = ClusterState(settings(), {"g4": MACHINE_TYPE}, 1)
     first, second = FakeWorker("vm-0", "a", False), FakeWorker("vm-2", "a", False)
     for worker in (first, second):
         worker.token = 1
@@ -295,7 +295,7 @@
 def test_a_gang_found_broken_after_a_failover_releases_both_members_on_one_machine():
     """Members of large gangs share machines. The report that showed the loss of one raised an error for the other."""
     before, first, second = gang_on_shared_machine(3)
-    cluster = ClusterState(settings(), {"g4": TYPE}, 1)
+    cluster = ClusterState(settings(), {"g4": MACHINE_TYPE}, 1)
     apply_record(cluster, "wk-1", 12, build_job_record(before.jobs["wk-1"]), 0.0)
     second.tasks["wk-1/2", 1] = "running"
     for worker in (first, second, first):
@@ -350,7 +350,7 @@
     """Records may assign more than the limit allows: a task had left its machine and its quota was given to another
     job, but all nodes stopped before its own record was updated. Tasks that don't run are restarted only up to the
     limit; running ones keep running."""
-    cluster = ClusterState(settings(), {"g4": TYPE}, 2)
+    cluster = ClusterState(settings(), {"g4": MACHINE_TYPE}, 2)
     limit = int(cluster.quota.teams["red"].gpus_max)
     running = [n for n, (_, runs) in enumerate(places) if runs][:limit]
     for n, (machine, _) in enumerate(places):
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from helpers import settings, simulated
+from helpers import run_simulated, settings
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -227,7 +227,7 @@
 
         await run_with_log(log, work())
 
-    simulated(scenario())
+    run_simulated(scenario())
 
 
 @pytest.mark.parametrize("guarded", [True, False])
@@ -256,7 +256,7 @@
                 and "t3-1" not in successor_log.rentals
             )
 
-    simulated(scenario())
+    run_simulated(scenario())
 
 
 @pytest.mark.parametrize("guarded", [True, False])
@@ -278,7 +278,7 @@
 
         await run_with_log(log, work())
 
-    simulated(scenario())
+    run_simulated(scenario())
 
 
 def test_operations_requested_together_share_a_write_and_those_that_do_not_fit_wait():
@@ -312,7 +312,7 @@
 
         await run_with_log(log, work())
 
-    simulated(scenario())
+    run_simulated(scenario())
 
 
 def test_machines_of_a_rental_stay_in_the_intent_log_until_every_list_shows_them(monkeypatch):
@@ -346,7 +346,7 @@
 
         await run_with_log(log, work())
 
-    simulated(scenario())
+    run_simulated(scenario())
 
 
 @pytest.mark.parametrize(
@@ -360,4 +360,4 @@
         await run_with_log(log, log.persist([log.add_intent(rental(1))]))
         assert intent_record.decode(service.value).rentals[0].name == "t3-1"
 
-    simulated(scenario())
+    run_simulated(scenario())
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from helpers import TYPE, settings, spec
+from helpers import MACHINE_TYPE, settings, spec
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -24,7 +24,7 @@
 
 
 def machine(name: str, rented_at: float = 0.0, state: MachineState = MachineState.UP, zone: str = "a") -> Machine:
-    return Machine(name, TYPE, "g4", zone, False, state, rented_at, rented_at)
+    return Machine(name, MACHINE_TYPE, "g4", zone, False, state, rented_at, rented_at)
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 5)), max_size=40))
@@ -104,7 +104,7 @@
 
 def test_a_faulty_array_drains_no_machine_and_is_retried_with_growing_backoff():
     """When eight tasks of such an array failed on one machine, the machine was drained of replicas and deleted."""
-    cluster = ClusterState(settings(), {"g4": TYPE}, 1)
+    cluster = ClusterState(settings(), {"g4": MACHINE_TYPE}, 1)
     for i in range(6):
         report = worker_messages.Report(
             machine=f"vm-{i}", addr="127.0.0.1:1", type="g4", zone="a", spot=False, session=1, seq=0, token=1, tasks=[]
@@ -126,7 +126,7 @@
     job = spec("wk-1", tasks=1)
     busy = policy_snapshot.FreeCapacity(
         "vm-1",
-        TYPE,
+        MACHINE_TYPE,
         "a",
         False,
         32.0,
@@ -134,12 +134,12 @@
         256.0,
         victims=[policy_snapshot.Victim("wk-8", 0, job.priority.LOW, "blue", 5.0, 1.0, 20.0, 3.0, 1)],
     )
-    free = policy_snapshot.FreeCapacity("vm-2", TYPE, "a", False, 32.0, 4.0, 256.0)
+    free = policy_snapshot.FreeCapacity("vm-2", MACHINE_TYPE, "a", False, 32.0, 4.0, 256.0)
     quota = ClusterState(settings(), {}, 1).quota
 
     def plan(capacities, **changes):
         demand = policy_snapshot.Demand("wk-1", job, [0], 1000.0, 60.0, {}, **changes)
-        return make_plan(policy_snapshot.Snapshot(1000.0, capacities, [demand], quota, {"g4": TYPE}, set()))
+        return make_plan(policy_snapshot.Snapshot(1000.0, capacities, [demand], quota, {"g4": MACHINE_TYPE}, set()))
 
     assert plan([busy]).stops
     probe = plan([busy], is_probe=True)
@@ -150,18 +150,18 @@
 
 
 def test_overdue_machines_mark_their_pool_as_failing_until_a_later_one_boots_in_time():
-    tracker, usual = BootTracker(), constants.BOOT_EXPECTED_RATIO * TYPE.boot_s
+    tracker, usual = BootTracker(), constants.BOOT_EXPECTED_RATIO * MACHINE_TYPE.boot_s
     overdue = [machine(f"vm-{i}", 0.0, MachineState.BOOTING) for i in range(constants.FAILING_POOL_MACHINES)]
     assert not tracker.detect_failing_pools(overdue, usual - 1) and not boot_overdue(overdue[0], usual - 1)
     assert tracker.detect_failing_pools(overdue, usual + 1) == {("g4", "a")} and boot_overdue(overdue[0], usual + 1)
     now = usual + 2
-    assert tracker.probe_allowance([TYPE], overdue, [], now) == {("g4", "a"): constants.FAILING_POOL_PROBES_MAX}
+    assert tracker.probe_allowance([MACHINE_TYPE], overdue, [], now) == {("g4", "a"): constants.FAILING_POOL_PROBES_MAX}
     probe = machine("vm-9", now, MachineState.BOOTING)
-    assert tracker.probe_allowance([TYPE], [*overdue, probe], [], now) == {("g4", "a"): 0}
-    assert tracker.probe_allowance([TYPE], overdue, [("g4", "a")], now) == {("g4", "a"): 0}
+    assert tracker.probe_allowance([MACHINE_TYPE], [*overdue, probe], [], now) == {("g4", "a"): 0}
+    assert tracker.probe_allowance([MACHINE_TYPE], overdue, [("g4", "a")], now) == {("g4", "a"): 0}
     # An overdue machine that boots after all does not show that the pool has recovered.
     assert not tracker.record_boot(overdue[0], now) and tracker.failing_since
-    assert tracker.record_boot(probe, now + TYPE.boot_s) and not tracker.failing_since
+    assert tracker.record_boot(probe, now + MACHINE_TYPE.boot_s) and not tracker.failing_since
     # Overdue machines rented before one that booted in time don't make the pool fail.
     assert not tracker.detect_failing_pools(overdue, now + 100)
 
@@ -175,7 +175,7 @@
             [],
             [],
             ClusterState(settings(), {}, 1).quota,
-            {"g4": TYPE},
+            {"g4": MACHINE_TYPE},
             set(),
             boot_probe_allowance=probe_allowance,
         )
@@ -194,12 +194,14 @@
     replacements filled the cloud's capacity with machines that did not boot.
     """
     tracker, late = BootTracker(), [machine(f"vm-{i}", 0.0, MachineState.BOOTING, "ab"[i % 2]) for i in range(20)]
-    assert {tracker.boot_timeout_s(m, [TYPE]) for m in late} == {constants.BOOT_TIMEOUT_RATIO * TYPE.boot_s}
-    assert not any(tracker.is_boot_expected(m, [TYPE], 100.0) for m in late)
+    assert {tracker.boot_timeout_s(m, [MACHINE_TYPE]) for m in late} == {
+        constants.BOOT_TIMEOUT_RATIO * MACHINE_TYPE.boot_s
+    }
+    assert not any(tracker.is_boot_expected(m, [MACHINE_TYPE], 100.0) for m in late)
     tracker.detect_failing_pools(late, 100.0)
-    assert tracker.all_pools_failing([TYPE]) and tracker.probe_allowance([TYPE], late, [], 100.0) == {}
-    assert all(tracker.is_boot_expected(m, [TYPE], 100.0) for m in late)
-    assert {tracker.boot_timeout_s(m, [TYPE]) / TYPE.boot_s for m in late} == {
+    assert tracker.all_pools_failing([MACHINE_TYPE]) and tracker.probe_allowance([MACHINE_TYPE], late, [], 100.0) == {}
+    assert all(tracker.is_boot_expected(m, [MACHINE_TYPE], 100.0) for m in late)
+    assert {tracker.boot_timeout_s(m, [MACHINE_TYPE]) / MACHINE_TYPE.boot_s for m in late} == {
         constants.BOOT_TIMEOUT_RATIO,
         constants.FAILING_POOL_BOOT_TIMEOUT_RATIO,
     }
@@ -235,7 +237,7 @@
 @given(st.lists(st.floats(0.0, 3.0), min_size=2, max_size=40))
 def test_the_first_backoff_of_a_suspect_job_is_short(times):
     """The job's tasks fail together, but their failures are reported one after the other."""
-    cluster = ClusterState(settings(), {"g4": TYPE}, 1)
+    cluster = ClusterState(settings(), {"g4": MACHINE_TYPE}, 1)
     count = len(times)
     for i in range(count):
         cluster.register_machine(f"vm-{i}", "g4", "a", False, 0.0, 90.0).state = MachineState.UP
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from helpers import TYPE, settings, spec
+from helpers import MACHINE_TYPE, settings, spec
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -35,7 +35,7 @@
 
     `task_kinds`: for each machine with a task, the kind of its job.
     """
-    cluster = ClusterState(settings(), {"g4": TYPE}, 1)
+    cluster = ClusterState(settings(), {"g4": MACHINE_TYPE}, 1)
     for zone in "ab":
         for i in range(6):
             machine = cluster.register_machine(f"vm-{zone}{i}", "g4", zone, False, -500.0, 0.0)
@@ -107,7 +107,7 @@
         m.name: LEASE_S - 1 - (m.last_heard or 0.0) for m in failure_detector.silent_machines(LEASE_S - 1)
     }
     assert set(silence_by_name) == {f"vm-b{i}" for i in range(6)}
-    next_cluster = ClusterState(settings(), {"g4": TYPE}, 2)
+    next_cluster = ClusterState(settings(), {"g4": MACHINE_TYPE}, 2)
     next_cluster.silent_since = {name: LEASE_S - 1 - seconds for name, seconds in silence_by_name.items()}
     for ref, job in cluster.jobs.items():
         record = records.JobRecord(submitted_at=0.0, spec=job.spec, next_attempt=2, assignments=[("vm-b0", 1, "0")])
@@ -209,7 +209,7 @@
     """An unreachable zone seemed to have the fewest machines and was preferred."""
 
     def zones(unreachable: frozenset[str]) -> set[str]:
-        snap = Snapshot(0.0, [], [], QuotaUsage({}), {"g4": TYPE}, set(), unreachable_zones=unreachable)
+        snap = Snapshot(0.0, [], [], QuotaUsage({}), {"g4": MACHINE_TYPE}, set(), unreachable_zones=unreachable)
         renting = Renting(snap, Plan(), [])
         capacities = [renting.rent(Demand("wk-1", spec(), [0], 1e9, 1.0, {}), {}) for _ in range(4)]
         return {capacity.zone for capacity in capacities if capacity is not None}
--- a/tests/test_finals.py
+++ b/tests/test_finals.py
@@ -13,7 +13,7 @@
 
 import msgspec
 import pytest
-from helpers import TYPE, simulated, spec
+from helpers import MACHINE_TYPE, run_simulated, spec
 from helpers import settings as deployment_settings
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -271,7 +271,7 @@
 
 def leader_with_job() -> tuple[ClusterState, Job]:
     """A cluster state with one job of two tasks, one of them with a committed assignment."""
-    cluster = ClusterState(deployment_settings(), {"g4": TYPE}, 1)
+    cluster = ClusterState(deployment_settings(), {"g4": MACHINE_TYPE}, 1)
     job = apply_record(cluster, "wk-1", 5, records.new_record(spec("wk-1"), 0.0), 0.0)
     assert job is not None
     machine = cluster.register_machine("vm-1", "g4", "a", False, 0.0, None)
@@ -322,8 +322,8 @@
         await election._campaign()
         return election.leadership.role
 
-    assert simulated(scenario(2)) is Role.LEADER
-    assert simulated(scenario(1)) is Role.FOLLOWER
+    assert run_simulated(scenario(2)) is Role.LEADER
+    assert run_simulated(scenario(1)) is Role.FOLLOWER
 
 
 @pytest.mark.parametrize("slow_s", [0.1, 4.0])
@@ -355,7 +355,7 @@
             return state_messages.Committed(5)
 
     async def scenario() -> None:
-        jobs = Jobs(deployment_settings(), State(), lambda: {"g4": TYPE}, lambda *args: None)
+        jobs = Jobs(deployment_settings(), State(), lambda: {"g4": MACHINE_TYPE}, lambda *args: None)
         for call in (lambda: jobs.status("wk-000001"), lambda: jobs.submit(spec("wk-000002"))):
             if slow_s > 1.0:
                 with pytest.raises(TemporarilyUnavailable):
--- a/tests/test_flow_engine.py
+++ b/tests/test_flow_engine.py
@@ -9,7 +9,7 @@
 
 import msgspec
 import pytest
-from helpers import TYPE, settings
+from helpers import MACHINE_TYPE, settings
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
@@ -240,7 +240,7 @@
                 break
             try:
                 if run is None or run.version != item.version:
-                    run = Run(Leads(trouble, uploads, settings(), {"g4": TYPE}), head, item.version)
+                    run = Run(Leads(trouble, uploads, settings(), {"g4": MACHINE_TYPE}), head, item.version)
                     await run.load()
                 if cancelled and turn == 12 and head.state is flow_messages.FlowState.OPEN:
                     service.apply([{"write": "flow/fl-1", "v": service.keys["flow/fl-1"][0] | {"state": "cancelled"}}])
--- a/tests/test_garbage_collection.py
+++ b/tests/test_garbage_collection.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from helpers import TYPE, settings
+from helpers import MACHINE_TYPE, settings
 
 from standins.scene import Scene
 from standins.state import StateService, application
@@ -36,7 +36,7 @@
         self.duties = Duties(self.leadership)
         self.duties.mark_ready(DutyName.GARBAGE_COLLECTION)
         self.collector = GarbageCollector(self.state, limits, self.duties)
-        self.cluster = ClusterState(settings(), {"g4": TYPE}, 3)
+        self.cluster = ClusterState(settings(), {"g4": MACHINE_TYPE}, 3)
 
     def write(self, key: str, value: object) -> None:
         self.net.loop.run(lambda: self.service.apply([{"write": key, "v": msgspec.to_builtins(value)}]) > 0)
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from helpers import TYPE, OpenIntentLog, settings, simulated, spec
+from helpers import MACHINE_TYPE, OpenIntentLog, run_simulated, settings, spec
 
 from winglift.cloud.inventory import Inventory
 from winglift.duties.external_operation import OperationState
@@ -31,7 +31,7 @@
     """In the first rush every cycle queued calls of one to four machines, and the last were sent 40 s later."""
 
     async def scenario() -> None:
-        cloud, cluster = FakeCloud(), ClusterState(settings(), {"g4": TYPE}, 1)
+        cloud, cluster = FakeCloud(), ClusterState(settings(), {"g4": MACHINE_TYPE}, 1)
         inventory = Inventory(cloud, cluster, 3.0, OpenIntentLog())  # type: ignore[arg-type]
         for _ in range(30):
             inventory.rent(Rental("g4", "a", True, 2))
@@ -51,7 +51,7 @@
     """The second sender once found that the first had sent all that there was, and ended with an error."""
 
     async def scenario() -> None:
-        cloud, cluster = FakeCloud(), ClusterState(settings(), {"g4": TYPE}, 1)
+        cloud, cluster = FakeCloud(), ClusterState(settings(), {"g4": MACHINE_TYPE}, 1)
         inventory = Inventory(cloud, cluster, 3.0, OpenIntentLog())  # type: ignore[arg-type]
         inventory.rent(Rental("g4", "a", True, 2))
         cloud.open.set()
@@ -88,7 +88,7 @@
                 assert for_cancellation
                 deleted.extend(names)
 
-        cluster = ClusterState(settings(), {"g4": TYPE}, 1)
+        cluster = ClusterState(settings(), {"g4": MACHINE_TYPE}, 1)
         inventory = Inventory(Cloud(), cluster, 3.0, StuckIntentLog())  # type: ignore[arg-type]
         machines = [cluster.register_machine(f"vm-{n}", "g4", "a", False, 0.0, 90.0) for n in range(3)]
         job = apply_record(
@@ -107,4 +107,4 @@
         assert deleted == ["vm-1"] and set(cluster.machines) == {"vm-0", "vm-2"}
         assert inventory.intent_log.deletions["vm-0"].state is OperationState.INTENDED
 
-    simulated(scenario())
+    run_simulated(scenario())
--- a/tests/test_kinds.py
+++ b/tests/test_kinds.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from helpers import OpenIntentLog, settings, simulated, spec
+from helpers import OpenIntentLog, run_simulated, settings, spec
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -300,7 +300,7 @@
         assert cloud.requested_types == ["w"] and not inventory.pending_rentals and not inventory._unsent
         return inventory
 
-    inventory = simulated(play())
+    inventory = run_simulated(play())
     # After repeated refusals a type is requested less and less often, until a machine of that type is returned.
     key, until = ("w", "a", True), []
     for _ in range(5):
@@ -366,7 +366,7 @@
 
     client = CloudClient("127.0.0.1", 1, settings().settings.cloud, 3)
     client._http = Http()  # type: ignore[assignment]
-    types = simulated(client.types())
+    types = run_simulated(client.types())
     assert list(types) == ["good"]
     assert len(caplog.records) == 1 and message in caplog.text
 
@@ -395,8 +395,8 @@
 
     jobs.status = unknown  # type: ignore[method-assign]
     with pytest.raises(TemporarilyUnavailable, match="not offered now"):
-        simulated(jobs.submit(GANG))
+        run_simulated(jobs.submit(GANG))
     with pytest.raises(Unschedulable):
-        simulated(jobs.submit(msgspec.structs.replace(GANG, cpus=999.0)))
+        run_simulated(jobs.submit(msgspec.structs.replace(GANG, cpus=999.0)))
     Node._update_types(node, dict(TYPES))  # type: ignore[arg-type]
     assert not node.withdrawn_types
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -5,7 +5,7 @@
 import asyncio
 from types import SimpleNamespace
 
-from helpers import TYPE, settings
+from helpers import MACHINE_TYPE, settings
 
 from winglift.config.script import Script
 from winglift.controller.gang_reservations import gang_may_rent
@@ -38,7 +38,7 @@
         any_fresh=lambda now: hears_peers,
         all_fresh=lambda now: hears_peers,
     )
-    leader_term = LeaderTerm(settings(), None, None, FakeElection(), {"g4": TYPE}, peers, Script())  # type: ignore[arg-type]
+    leader_term = LeaderTerm(settings(), None, None, FakeElection(), {"g4": MACHINE_TYPE}, peers, Script())  # type: ignore[arg-type]
     leader_term.inventory.delete = lambda machine, why: deleted.append(machine.name)  # type: ignore[method-assign]
     for name, zone, last_heard in machines:
         machine = leader_term.cluster.register_machine(name, "g4", zone, False, 980.0, 20.0)
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -11,7 +11,7 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import TYPE, settings, spec
+from helpers import MACHINE_TYPE, settings, spec
 from hypothesis import given
 from hypothesis import strategies as st
 from test_leader import leader
@@ -181,7 +181,7 @@
         records.JobRecord(submitted_at=0.0, spec=spec("wk-1", tasks=1), next_attempt=2, assignments=[("vm-1", 1, "0")]),
         0.0,
     )
-    assert job is not None and TYPE is cluster.machines["vm-1"].type
+    assert job is not None and MACHINE_TYPE is cluster.machines["vm-1"].type
     clock.ahead += 30.0
     later = worker_messages.Report(
         machine="vm-1", addr="127.0.0.1:1", type="g4", zone="a", spot=False, session=1, seq=2, token=3, tasks=[]
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 import msgspec
-from helpers import TYPE, OpenIntentLog, settings, spec
+from helpers import MACHINE_TYPE, OpenIntentLog, settings, spec
 from hypothesis import given
 from hypothesis import strategies as st
 from test_policy import free_machine, full_machine, snapshot
@@ -141,7 +141,7 @@
         capacities.append(
             policy_snapshot.FreeCapacity(
                 f"m{number}",
-                TYPE,
+                MACHINE_TYPE,
                 zone,
                 False,
                 32.0,
@@ -151,7 +151,7 @@
                 images={"img"} if warm else frozenset(),
             )
         )
-        fetch = 0.0 if warm else gang.image_gb / TYPE.fetch_gb_per_s * constants.FETCH_COST_RATIO
+        fetch = 0.0 if warm else gang.image_gb / MACHINE_TYPE.fetch_gb_per_s * constants.FETCH_COST_RATIO
         sufficient_sets = [
             s
             for size in range(len(victims) + 1)
@@ -202,7 +202,7 @@
 
 def test_concurrent_fetches_decide_whether_a_fetch_counts_as_stalled():
     site = settings()
-    cluster = ClusterState(site, {"g4": TYPE}, 1)
+    cluster = ClusterState(site, {"g4": MACHINE_TYPE}, 1)
     inventory = Inventory(SimpleNamespace(), cluster, 3.0, OpenIntentLog())  # type: ignore[arg-type]
     snapshot_builder = SnapshotBuilder(site, cluster, inventory, Script(), lambda: True)
     machine = cluster.register_machine("vm-1", "g4", "a", False, 0.0, 90.0)
@@ -283,7 +283,7 @@
 
 def test_a_reservation_expires_and_is_not_renewed_at_once():
     site = settings()
-    cluster = ClusterState(site, {"g4": TYPE}, 1)
+    cluster = ClusterState(site, {"g4": MACHINE_TYPE}, 1)
     snapshot_builder = SnapshotBuilder(
         site, cluster, Inventory(SimpleNamespace(), cluster, 3.0, OpenIntentLog()), Script(), lambda: True
     )  # type: ignore[arg-type]
@@ -305,7 +305,7 @@
 def test_only_machines_that_changed_are_inspected_again(monkeypatch):
     """A plan for 400 machines costs as many inspections as machines changed. Counts inspections, not seconds."""
     site = settings()
-    cluster = ClusterState(site, {"g4": TYPE}, 1)
+    cluster = ClusterState(site, {"g4": MACHINE_TYPE}, 1)
     snapshot_builder = SnapshotBuilder(
         site, cluster, Inventory(SimpleNamespace(), cluster, 3.0, OpenIntentLog()), Script(), lambda: True
     )  # type: ignore[arg-type]
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -5,7 +5,7 @@
 import copy
 
 import pytest
-from helpers import TYPE, settings, spec
+from helpers import MACHINE_TYPE, settings, spec
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -72,7 +72,7 @@
         capacities.append(
             policy_snapshot.FreeCapacity(
                 f"m{i}",
-                TYPE,
+                MACHINE_TYPE,
                 draw(st.sampled_from("ab")),
                 draw(st.booleans()),
                 32 - 5.0 * used,
@@ -127,7 +127,7 @@
             )
         )
     quota = QuotaUsage({t.name: t for t in settings().settings.teams})
-    return policy_snapshot.Snapshot(1000.0, capacities, demands, quota, {"g4": TYPE}, set())
+    return policy_snapshot.Snapshot(1000.0, capacities, demands, quota, {"g4": MACHINE_TYPE}, set())
 
 
 @given(snapshots())
@@ -275,7 +275,7 @@
 
 
 def free_machine(name, zone="a", **changes):
-    return policy_snapshot.FreeCapacity(name, TYPE, zone, False, 32.0, 4.0, 256.0, **changes)
+    return policy_snapshot.FreeCapacity(name, MACHINE_TYPE, zone, False, 32.0, 4.0, 256.0, **changes)
 
 
 def full_machine(name, victims, **changes):
@@ -287,7 +287,12 @@
 
 def snapshot(capacities, demands):
     return policy_snapshot.Snapshot(
-        1000.0, capacities, demands, QuotaUsage({t.name: t for t in settings().settings.teams}), {"g4": TYPE}, set()
+        1000.0,
+        capacities,
+        demands,
+        QuotaUsage({t.name: t for t in settings().settings.teams}),
+        {"g4": MACHINE_TYPE},
+        set(),
     )
 
 
@@ -492,7 +497,7 @@
 
     def free_machine(name: str, **more) -> policy_snapshot.FreeCapacity:
         return policy_snapshot.FreeCapacity(
-            name, TYPE, "a", False, 32.0, 4.0, 256.0, images={"img"}, cached_images={"img"}, **more
+            name, MACHINE_TYPE, "a", False, 32.0, 4.0, 256.0, images={"img"}, cached_images={"img"}, **more
         )
 
     capacities = [free_machine("vm-1"), free_machine("vm-2"), free_machine("vm-3", ready_in=9.0)]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from helpers import WIRE
+from helpers import SUBMISSION_JSON
 from tornado.httpclient import AsyncHTTPClient
 
 from standins.trial import Stage
@@ -100,7 +100,7 @@
 
 def job(ref: str, **changes: Any) -> dict[str, Any]:
     return (
-        WIRE
+        SUBMISSION_JSON
         | {
             "ref": ref,
             "owner": "team",
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from helpers import TYPE, settings, simulated, spec
+from helpers import MACHINE_TYPE, run_simulated, settings, spec
 
 from winglift.api.jobs import Jobs, TemporarilyUnavailable
 
@@ -21,7 +21,7 @@
                 return 0.2
 
             async def get(self, key, timeout=0.0, urgent=False):
-                types["g4"] = TYPE
+                types["g4"] = MACHINE_TYPE
                 await asyncio.sleep(0)
                 return None
 
@@ -35,4 +35,4 @@
         with pytest.raises(TemporarilyUnavailable):
             await jobs.submit(spec())
 
-    simulated(scenario())
+    run_simulated(scenario())
--- a/tests/test_successors.py
+++ b/tests/test_successors.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from helpers import TYPE, settings, spec
+from helpers import MACHINE_TYPE, settings, spec
 from hypothesis import given
 from hypothesis import strategies as st
 from test_leader import leader
@@ -55,7 +55,7 @@
 
     def __init__(self, started_at: float, monotonic_offset: float, skew_s: float, value: bytes) -> None:
         self.monotonic_offset, self.skew_s = monotonic_offset, skew_s
-        self.cluster = ClusterState(settings(), {"g4": TYPE}, 1)
+        self.cluster = ClusterState(settings(), {"g4": MACHINE_TYPE}, 1)
         self.failure_detector = FailureDetector(self.cluster, WORKERS, SKEW_S, "ab")
         self.started_at = started_at
         apply_record(self.cluster, "wk-1", 11, records.decode(value), self.monotonic_time(started_at))
@@ -133,7 +133,7 @@
 
 def test_the_age_of_a_cancellation_counts_from_the_last_read_of_the_open_job():
     """A transaction may be applied minutes after the cancellation time that it contains."""
-    cluster = ClusterState(settings(), {"g4": TYPE}, 1)
+    cluster = ClusterState(settings(), {"g4": MACHINE_TYPE}, 1)
     open_record = records.JobRecord(
         submitted_at=EPOCH, spec=spec("wk-1"), next_attempt=2, assignments=[("vm-9", 1, "0-1")]
     )
@@ -142,7 +142,7 @@
     job = apply_record(cluster, "wk-1", 11, cancelled_record(EPOCH - 500), 200.0)
     assert job is not None and job.seconds_since_cancelled(201.0, EPOCH, SKEW_S) == 11.0
     # The same for a record written by a version that did not store the time.
-    other = ClusterState(settings(), {"g4": TYPE}, 1)
+    other = ClusterState(settings(), {"g4": MACHINE_TYPE}, 1)
     apply_record(other, "wk-1", 10, open_record, 100.0)
     other.records_current_at = 190.0
     job = apply_record(other, "wk-1", 11, cancelled_record(None), 200.0)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,7 +5,7 @@
 import json
 
 import pytest
-from helpers import WIRE, spec
+from helpers import SUBMISSION_JSON, spec
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -23,7 +23,7 @@
 
 
 def test_valid_submission_is_parsed():
-    sub = user_messages.parse_submission(json.dumps(WIRE | {"novel": 1}).encode())
+    sub = user_messages.parse_submission(json.dumps(SUBMISSION_JSON | {"novel": 1}).encode())
     assert (sub.ref, sub.kind, sub.tasks, sub.due_s, sub.zone) == (
         "wk-000412",
         user_messages.Kind.ARRAY,
@@ -31,14 +31,14 @@
         900.0,
         None,
     )
-    without = {k: v for k, v in WIRE.items() if v is not None}
+    without = {k: v for k, v in SUBMISSION_JSON.items() if v is not None}
     assert user_messages.parse_submission(json.dumps(without).encode()) == sub
 
 
-@given(st.sampled_from(sorted(set(WIRE) - {"rigTypes", "hall", "dueS"})))
+@given(st.sampled_from(sorted(set(SUBMISSION_JSON) - {"rigTypes", "hall", "dueS"})))
 def test_a_missing_field_is_named(field):
     with pytest.raises(user_messages.InvalidMessage, match=field):
-        user_messages.parse_submission(json.dumps({k: v for k, v in WIRE.items() if k != field}).encode())
+        user_messages.parse_submission(json.dumps({k: v for k, v in SUBMISSION_JSON.items() if k != field}).encode())
 
 
 NUMBERS = ["cpus", "gpus", "memGb", "pullGb", "expectedS", "snapshotEveryS", "snapshotS", "dueS", "pieces"]
@@ -46,7 +46,7 @@
 
 @given(st.sampled_from(NUMBERS), st.sampled_from(["-1", "-0.5", "1e999", '"3"', "[]", "true", "1e300"]))
 def test_an_amount_out_of_range_is_named(field, text):
-    body = json.dumps(WIRE | {field: "@"}).replace('"@"', text).encode()
+    body = json.dumps(SUBMISSION_JSON | {field: "@"}).replace('"@"', text).encode()
     with pytest.raises(user_messages.InvalidMessage, match=field if text != "1e999" else r"\$|range|finite|[a-z]"):
         user_messages.parse_submission(body)
 
@@ -62,7 +62,7 @@
 def test_malformed_job_id_is_refused(ref):
     assert not user_messages.is_job_ref(ref)
     with pytest.raises(user_messages.InvalidMessage, match="ref"):
-        user_messages.parse_submission(json.dumps(WIRE | {"ref": ref}).encode())
+        user_messages.parse_submission(json.dumps(SUBMISSION_JSON | {"ref": ref}).encode())
 
 
 @given(st.integers(0, 2**64 - 1), st.booleans(), st.booleans(), st.text(max_size=20))
