--- a/standins/flow_leader.py
+++ b/standins/flow_leader.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from winglift.config.settings import Settings
-from winglift.flows.expressions import Engines
+from winglift.flows.expressions import JavaScriptEngine
 from winglift.wire import flows as flow_messages
 from winglift.wire import state as state_messages
 from winglift.wire.cloud import MachineType
@@ -89,7 +89,7 @@
         self._types = types
         self.state: Any = service
         self.files: Any = uploads
-        self.engines = Engines()
+        self.javascript_engine = JavaScriptEngine()
         self.open_jobs = 3
         self.term = service.service.version("leader")  # its own key's revision, whoever leads later
 
--- a/standins/flowlab.py
+++ b/standins/flowlab.py
@@ -146,12 +146,12 @@
         plan=await uploads.put(flow_messages.encode(plan)),
         order=await uploads.put(msgspec.json.encode(order)),
     )
-    service.apply([{"write": "flow/fl-1", "v": msgspec.to_builtins(records.Head(sub, time.time()))}])
+    service.apply([{"write": "flow/fl-1", "v": msgspec.to_builtins(records.FlowRecord(sub, time.time()))}])
     leads = Leads(direct, uploads, SETTINGS, TYPES)
     leads.open_jobs = 100
     item = await direct.get("flow/fl-1")
     assert item is not None
-    run = Run(leads, records.decode_head(item.value), item.version)
+    run = Run(leads, records.decode_flow_record(item.value), item.version)
     spent, changes, direct.requests = 0.0, 0, 0
     beat = Heartbeat()
     began = time.process_time()
@@ -173,7 +173,7 @@
     largest = max(len(msgspec.json.encode(v)) for v, _, _ in service.keys.values())
     # Taken over: what a new leader spends to stand where this one stands.
     began = time.process_time()
-    again = Run(leads, records.decode_head(item.value), item.version)
+    again = Run(leads, records.decode_flow_record(item.value), item.version)
     await again.load()
     return {
         "shape": shape,
--- a/tests/flow_world.py
+++ b/tests/flow_world.py
@@ -16,8 +16,8 @@
 from winglift.config import settings as settings_module
 from winglift.cwl.load import Checked
 from winglift.flows import settings as flow_settings
-from winglift.flows.files import Files
-from winglift.flows.service import Flows
+from winglift.flows.files import UploadStoreClient
+from winglift.flows.service import FlowService
 from winglift.node import Node
 from winglift.wire import flows as flow_messages
 
@@ -29,13 +29,13 @@
     def __init__(self, folder: pathlib.Path, nodes: int) -> None:
         self.stage = Stage(nodes, lambda task: 0.2, folder / "tasks", OTHER)
         self.server = Server(",".join(self.stage.addresses))
-        self.files = Files(*settings_module.parse_addr(self.stage.files, "files"))
+        self.files = UploadStoreClient(*settings_module.parse_addr(self.stage.files, "files"))
         self.nodes: dict[int, tuple[Node, asyncio.Task]] = {}
-        self.flows: dict[int, Flows] = {}
+        self.flows: dict[int, FlowService] = {}
 
     def start(self, number: int) -> None:
         node = Node(settings_module.parse(self.stage.settings(number)))
-        self.flows[number] = Flows(flow_settings.parse(self.stage.workflows()), node)
+        self.flows[number] = FlowService(flow_settings.parse(self.stage.workflows()), node)
         node.add_extension(self.flows[number])
         self.nodes[number] = node, asyncio.ensure_future(node.run())
 
--- a/tests/test_flow_engine.py
+++ b/tests/test_flow_engine.py
@@ -19,7 +19,7 @@
 from winglift.flows import records
 from winglift.flows.command import Size
 from winglift.flows.engine import Engine
-from winglift.flows.expressions import Endless, Engines, Evaluator, ExpressionError
+from winglift.flows.expressions import Evaluator, ExpressionError, ExpressionTimeout, JavaScriptEngine
 from winglift.flows.graph import Node, critical, divide, graph
 from winglift.flows.leader import Superseded
 from winglift.flows.parts import Part, submission
@@ -84,12 +84,12 @@
 def play(plan: flow_messages.Plan, seed: int) -> Any:
     """All steps, ended in some order."""
     chance = random.Random(seed)
-    engine = Engine(plan, ORDER, Engines())
+    engine = Engine(plan, ORDER, JavaScriptEngine())
     engine.start()
     open_: list[Any] = []
     while engine.outputs is None:
-        engine.go()
-        open_ += engine.take()
+        engine.advance()
+        open_ += engine.take_ready()
         if engine.outputs is None:
             leaf = open_.pop(chance.randrange(len(open_)))
             engine.end(leaf, [result(e) for e in leaf.elements])
@@ -227,7 +227,7 @@
             plan=await uploads.put(flow_messages.encode(plan)),
             order=await uploads.put(msgspec.json.encode(ORDER)),
         )
-        head = records.Head(sub, 0.0)
+        head = records.FlowRecord(sub, 0.0)
         service.apply([{"write": "flow/fl-1", "v": msgspec.to_builtins(head)}])
         run: Run | None = None
         for turn in range(4000):
@@ -235,7 +235,7 @@
                 trouble.calm = True
             item = await trouble.get("flow/fl-1")
             assert item is not None
-            head = records.decode_head(item.value)
+            head = records.decode_flow_record(item.value)
             if head.state is flow_messages.FlowState.DONE or head.tidy:
                 break
             try:
@@ -298,7 +298,7 @@
 
 
 def test_references_and_scripts_give_their_values():
-    plain, script = Evaluator(Engines(), False), Evaluator(Engines(), True, ["var k = 3;"])
+    plain, script = Evaluator(JavaScriptEngine(), False), Evaluator(JavaScriptEngine(), True, ["var k = 3;"])
     for evaluate in (plain, script):
         assert evaluate("$(inputs.a)", NAMES) == 1 and evaluate("$(self)", NAMES) is None
         assert evaluate("$(inputs.b[1]) of $(inputs.b.length)", NAMES) == "2 of 2"
@@ -322,12 +322,12 @@
 )
 def test_what_is_no_reference_is_refused(text, why):
     with pytest.raises(ExpressionError, match=why):
-        Evaluator(Engines(), False)(text, NAMES)
+        Evaluator(JavaScriptEngine(), False)(text, NAMES)
 
 
 def test_scripts_are_bounded_and_the_same_on_every_node():
-    evaluate = Evaluator(Engines(time_s=0.05, memory_mb=4.0), True)
-    with pytest.raises(Endless):
+    evaluate = Evaluator(JavaScriptEngine(time_s=0.05, memory_mb=4.0), True)
+    with pytest.raises(ExpressionTimeout):
         evaluate("${ while (true) {} }", NAMES)
     for text in (
         "${ var a = []; while (true) { a.push(new Array(1000).join('x')); } }",
--- a/tests/test_garbage_collection.py
+++ b/tests/test_garbage_collection.py
@@ -13,7 +13,7 @@
 from winglift.duties.duty import Duties, DutyName
 from winglift.duties.garbage_collection import GarbageCollector, ImageCacheSweeper
 from winglift.flows import records
-from winglift.flows.sweep import OldSteps
+from winglift.flows.sweep import StepRecordSweeper
 from winglift.model import image_cache_record
 from winglift.model.cluster_state import ClusterState
 from winglift.model.leadership import Leadership, Role
@@ -106,17 +106,17 @@
     }
     for ref, (submitted, state, ended) in heads.items():
         sub = FlowSubmission(ref=ref, team="red", plan="p", order="o")
-        node.write(records.HEAD + ref, records.Head(sub, submitted, state, outputs="digest"))
+        node.write(records.FLOW_PREFIX + ref, records.FlowRecord(sub, submitted, state, outputs="digest"))
         for number in range(10):
             node.write(f"{records.step_prefix(ref)}{number}", records.StepRecord(f"s{number}", StepOutcome.DONE, ended))
-    node.write(f"{records.HEAD}fl-5", {"foreign": 1})
-    node.collector.sweepers.append(OldSteps(node.state))
+    node.write(f"{records.FLOW_PREFIX}fl-5", {"foreign": 1})
+    node.collector.sweepers.append(StepRecordSweeper(node.state))
     node.run_collections(runs=1 + round(2 * constants.GC_FLOWS_INTERVAL_S / constants.GC_INTERVAL_S))
     remaining = {ref: len(node.keys(records.step_prefix(ref))) for ref in heads}
     assert remaining == {"fl-1": 0, "fl-2": 10, "fl-3": 10, "fl-4": 10}
     head = node.service.keys["flow/fl-1"][0]
     assert head["state"] == "done" and head["outputs"] == "digest" and head["swept"]
-    assert len(node.keys(records.HEAD)) == 5
+    assert len(node.keys(records.FLOW_PREFIX)) == 5
 
 
 def test_stored_state_other_than_job_records_does_not_grow():
--- a/winglift/cli/flow.py
+++ b/winglift/cli/flow.py
@@ -15,7 +15,7 @@
 
 from .. import constants
 from ..config.settings import parse_addr
-from ..flows.files import Files, FilesError, Missing
+from ..flows.files import UploadNotFound, UploadStoreClient, UploadStoreError
 from ..flows.graph import graph
 from ..flows.values import FlowError
 from ..wire import flows as flow_messages
@@ -30,7 +30,7 @@
     """The exit code; what goes wrong is one line on standard error."""
     try:
         return asyncio.run(work)
-    except (ServerError, FilesError, FlowError, flow_messages.InvalidMessage) as err:
+    except (ServerError, UploadStoreError, FlowError, flow_messages.InvalidMessage) as err:
         print(f"winglift: {err}", file=sys.stderr)
         return 1
 
@@ -134,7 +134,7 @@
     team = team or hints.team
     if team is None:
         raise ServerError("no team: give --team, or the hint winglift:Job with team in the workflow")
-    store = Files(*parse_addr(files or await server.files(), "--files"))
+    store = UploadStoreClient(*parse_addr(files or await server.files(), "--files"))
     for content in found.blobs.values():
         await store.put(content)
     plan, order = await store.put(flow_messages.encode(found.plan)), await store.put(msgspec.json.encode(found.order))
@@ -216,7 +216,7 @@
         if reply.errors:
             click.echo(reply.errors.rstrip("\n"), err=True)
         return 1
-    store = Files(*parse_addr(files or await server.files(), "--files"))
+    store = UploadStoreClient(*parse_addr(files or await server.files(), "--files"))
     outputs = msgspec.json.decode(await store.get(reply.outputs))
     if outdir is not None:
         outputs = await _save(outputs, pathlib.Path(outdir), store, set())
@@ -224,7 +224,7 @@
     return 0
 
 
-async def _save(value: Any, folder: pathlib.Path, store: Files, taken: set[pathlib.Path]) -> Any:
+async def _save(value: Any, folder: pathlib.Path, store: UploadStoreClient, taken: set[pathlib.Path]) -> Any:
     """Write files below a folder and name their places; equal names get numbers."""
     if isinstance(value, list):
         return [await _save(v, folder, store, taken) for v in value]
@@ -322,10 +322,10 @@
         if flow_messages.is_flow_ref(what):
             nodes_ = Server(server)
             reply = await nodes_.flow(what)
-            store = Files(*parse_addr(files or await nodes_.files(), "--files"))
+            store = UploadStoreClient(*parse_addr(files or await nodes_.files(), "--files"))
             try:
                 nodes = graph(flow_messages.parse_plan(await store.get(reply.plan)))
-            except Missing:
+            except UploadNotFound:
                 raise ServerError(f"the plan of {what} is no longer there") from None
             states, title = step_states(nodes, reply.steps), f"{what}: {reply.state.value}"
         else:
--- a/winglift/cli/serve.py
+++ b/winglift/cli/serve.py
@@ -44,9 +44,9 @@
 
     node = Node(settings, rules)
     if flows is not None:
-        from ..flows.service import Flows
+        from ..flows.service import FlowService
 
-        node.add_extension(Flows(flows, node))
+        node.add_extension(FlowService(flows, node))
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(node.run())
--- a/winglift/cli/show.py
+++ b/winglift/cli/show.py
@@ -8,7 +8,7 @@
 from itertools import pairwise
 from typing import Any
 
-from ..flows.graph import Node, critical, plain
+from ..flows.graph import Node, critical, graph_path
 from ..wire.flows import FlowReply, StepReply
 
 COLOURS = {
@@ -88,7 +88,7 @@
     weight = ["waiting", "skipped", "done", "queued", "running", "failed"]
     states = dict.fromkeys(nodes, "waiting")
     for step in steps:
-        path = plain(step.path)
+        path = graph_path(step.path)
         if path in states and weight.index(step.state) > weight.index(states[path]):
             states[path] = step.state
     return states
--- a/winglift/cwl/links.py
+++ b/winglift/cwl/links.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ..flows.values import describe
+from ..flows.values import describe_type
 from ..wire.flows import FlowOutput, Plan, Step, StepInput, Workflow
 from .errors import CwlError, Place
 
@@ -94,4 +94,6 @@
 def _check(sink: StepInput | FlowOutput, types: dict[str, Any], kind: Any, name: str, where: str) -> None:
     given = arriving(sink, types)
     if not assignable(given, kind):
-        raise CwlError(f"{where}: {name} takes {', '.join(sink.source)}: {describe(given)} is not {describe(kind)}")
+        raise CwlError(
+            f"{where}: {name} takes {', '.join(sink.source)}: {describe_type(given)} is not {describe_type(kind)}"
+        )
--- a/winglift/cwl/load.py
+++ b/winglift/cwl/load.py
@@ -14,9 +14,9 @@
 from schema_salad.exceptions import SchemaSaladException
 from schema_salad.utils import yaml_no_ts
 
-from ..flows.command import Builder
-from ..flows.engine import Engine, Needs
-from ..flows.expressions import Endless, Engines, Evaluator, ExpressionError, needs_evaluation
+from ..flows.command import TaskBuilder
+from ..flows.engine import ContentNeeded, Engine
+from ..flows.expressions import Evaluator, ExpressionError, ExpressionTimeout, JavaScriptEngine, needs_evaluation
 from ..flows.graph import Node, graph
 from ..flows.values import FlowError
 from ..wire.flows import Expression, Plan, Tool, Workflow, parse_plan
@@ -132,7 +132,7 @@
 
 def _try_expressions(plan: Plan, sources: dict[str, str], place: Place) -> None:
     """Try every expression on made-up values: what does not end or can't be read is refused, what fails is not."""
-    engines = Engines(CHECK_S)
+    javascript_engine = JavaScriptEngine(CHECK_S)
     for key, process in plan.processes.items():
         file = sources[key]
         known = {p.name for p in process.inputs}
@@ -142,7 +142,7 @@
                 known |= {s.name for s in step.inputs}
                 target = {p.name: p.type for p in plan.processes[step.run].inputs}
                 inputs |= {s.name: sample(target.get(s.name, "Any")) for s in step.inputs}
-        evaluate = Evaluator(engines, process.javascript, process.library)
+        evaluate = Evaluator(javascript_engine, process.javascript, process.library)
         for text in _texts(process):
             first = text.splitlines()[0][:60]
             where = place.holding(file, first) or place.at(
@@ -169,7 +169,7 @@
                             },
                         },
                     )
-                except Endless as err:
+                except ExpressionTimeout as err:
                     raise CwlError(f"{where}: {err}") from None
                 except ExpressionError as err:
                     if any(sign in str(err) for sign in ("SyntaxError", "JavaScript", "not closed", "no such name")):
@@ -178,21 +178,21 @@
 
 def _try_start(checked: Checked) -> None:
     """Begin the workflow as the leader would: what can be known of its first steps is known now."""
-    engine = Engine(checked.plan, checked.order, Engines(CHECK_S))
+    engine = Engine(checked.plan, checked.order, JavaScriptEngine(CHECK_S))
     call: Callable[[], object] = engine.start
     while True:
         try:
             call()
-            call = engine.go
+            call = engine.advance
             call()
             break
-        except Needs as need:
+        except ContentNeeded as need:
             engine.contents[need.digest] = checked.blobs[need.digest].decode(errors="replace")
-    for leaf in engine.take():
+    for leaf in engine.take_ready():
         process = checked.plan.processes[leaf.process]
         if isinstance(process, Tool):
             for inputs in leaf.elements[:10]:
-                Builder(process, inputs, engine.evaluator(leaf.process), leaf.path).build()
+                TaskBuilder(process, inputs, engine.evaluator(leaf.process), leaf.path).build()
         elif isinstance(process, Expression):
             engine.evaluate(leaf)
 
--- a/winglift/cwl/order.py
+++ b/winglift/cwl/order.py
@@ -7,7 +7,7 @@
 from typing import Any
 from urllib.parse import unquote, urlparse
 
-from ..flows.values import describe, fits
+from ..flows.values import describe_type, matches_type
 from ..wire.flows import UPLOAD_PREFIX, Param
 from .errors import CwlError, Place, Unsupported
 from .types import LEFT
@@ -102,10 +102,10 @@
         value = resolver.value(found.get(param.name), file, where)
         if value is None and param.default is not None:
             continue
-        if value is None and not fits(None, param.type):
-            raise CwlError(f"{file}: no value for {param.name}, {describe(param.type)}")
-        if not fits(value, param.type):
-            raise CwlError(f"{where}: {param.name}: expected {describe(param.type)}, got {value!r:.80}")
+        if value is None and not matches_type(None, param.type):
+            raise CwlError(f"{file}: no value for {param.name}, {describe_type(param.type)}")
+        if not matches_type(value, param.type):
+            raise CwlError(f"{where}: {param.name}: expected {describe_type(param.type)}, got {value!r:.80}")
         order[param.name] = value
     unknown = [str(n) for n in found if n not in {p.name for p in params}]
     if unknown:
--- a/winglift/flows/driver.py
+++ b/winglift/flows/driver.py
@@ -17,8 +17,8 @@
 from ..wire.flows import FlowState
 from ..wire.users import InvalidMessage
 from . import records
-from .expressions import Engines
-from .files import Files, FilesError
+from .expressions import JavaScriptEngine
+from .files import UploadStoreClient, UploadStoreError
 from .leader import StepFailed, Superseded
 from .run import Run
 from .settings import FlowSettings
@@ -26,23 +26,28 @@
 
 log = logging.getLogger(__name__)
 
-AGAIN = (RequestRejected, OutcomeUnknown, LeaseExpired, FilesError, TemporarilyUnavailable)
+AGAIN = (RequestRejected, OutcomeUnknown, LeaseExpired, UploadStoreError, TemporarilyUnavailable)
 
 
 class Driver:
     """One per term; after `stop` it writes nothing more."""
 
     def __init__(
-        self, controller: LeaderTerm, jobs: Jobs, files: Files, engines: Engines, settings: FlowSettings
+        self,
+        controller: LeaderTerm,
+        jobs: Jobs,
+        files: UploadStoreClient,
+        javascript_engine: JavaScriptEngine,
+        settings: FlowSettings,
     ) -> None:
         self.controller = controller
         self.settings = controller.settings
         self.state = controller.state
         self.files = files
-        self.engines = engines
+        self.javascript_engine = javascript_engine
         self.open_jobs = settings.open_jobs
         self._jobs = jobs
-        self._heads: dict[str, tuple[int, records.Head]] = {}
+        self._heads: dict[str, tuple[int, records.FlowRecord]] = {}
         self._runs: dict[str, asyncio.Task[None]] = {}
         self._wakes: dict[str, asyncio.Event] = {}
         self._task = asyncio.ensure_future(self._follow())
@@ -83,11 +88,11 @@
     async def _follow(self) -> None:
         while True:
             try:
-                items, revision = await self.state.list(records.HEAD)
+                items, revision = await self.state.list(records.FLOW_PREFIX)
                 for item in items:
                     self._take(item.key, item.version, item.value)
                 while True:
-                    changes = await self.state.changes(records.HEAD, revision)
+                    changes = await self.state.changes(records.FLOW_PREFIX, revision)
                     for event in changes.events:
                         if event.put is not None:
                             self._take(event.put, event.version, event.value)
@@ -97,9 +102,9 @@
                 await asyncio.sleep(0.5)
 
     def _take(self, key: str, version: int, value) -> None:  # type: ignore[no-untyped-def]
-        ref = key.removeprefix(records.HEAD)
+        ref = key.removeprefix(records.FLOW_PREFIX)
         try:
-            head = records.decode_head(value)
+            head = records.decode_flow_record(value)
         except records.InvalidRecord as err:
             log.error("%s is left alone: %s", ref, err)
             return
@@ -162,10 +167,10 @@
             if found is not None and not (found[1].state is FlowState.DONE or found[1].tidy):
                 asyncio.get_running_loop().call_later(5.0, self._again, ref, *found)
 
-    def _again(self, ref: str, version: int, head: records.Head) -> None:
+    def _again(self, ref: str, version: int, head: records.FlowRecord) -> None:
         """A run that ended by a fault begins anew, unless this term is over."""
         if not self._task.done() and ref not in self._runs:
-            self._take(records.HEAD + ref, version, job_records.encode(head))  # type: ignore[arg-type]
+            self._take(records.FLOW_PREFIX + ref, version, job_records.encode(head))  # type: ignore[arg-type]
 
     async def _fail(self, run: Run, err: Exception) -> None:
         log.debug("%s: %s", run.ref, err)
@@ -179,9 +184,9 @@
 
     async def _refresh(self, ref: str) -> None:
         try:
-            item = await self.state.get(records.HEAD + ref)
+            item = await self.state.get(records.FLOW_PREFIX + ref)
             if item is not None:
-                self._take(records.HEAD + ref, item.version, item.value)
+                self._take(records.FLOW_PREFIX + ref, item.version, item.value)
         except (RequestRejected, OutcomeUnknown) as err:
             log.debug("%s: %s", ref, err)
 
--- a/winglift/flows/engine.py
+++ b/winglift/flows/engine.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from ..wire.flows import UPLOAD_PREFIX, Expression, FlowOutput, Hints, Param, Plan, Step, Tool, Workflow
-from .expressions import Engines, Evaluator, ExpressionError
-from .values import FlowError, describe, files_of, fits, gather, nest, scatter
+from .expressions import Evaluator, ExpressionError, JavaScriptEngine
+from .values import FlowError, describe_type, files_of, gather, matches_type, nest, scatter
 
 
 class StepState(Enum):
@@ -40,7 +40,7 @@
 }
 
 
-class Needs(Exception):
+class ContentNeeded(Exception):
     """The content of a file is needed to go on: `digest`."""
 
     def __init__(self, digest: str) -> None:
@@ -93,12 +93,12 @@
 
 
 class Engine:
-    """Usage: `start()`; then again and again `go()`, `take()` what is ready, and `end()` what has ended."""
+    """Usage: `start()`; then again and again `advance()`, `take_ready()` what is ready, and `end()` what has ended."""
 
-    def __init__(self, plan: Plan, order: dict[str, Any], engines: Engines) -> None:
+    def __init__(self, plan: Plan, order: dict[str, Any], javascript_engine: JavaScriptEngine) -> None:
         self.plan = plan
         self.order = order
-        self.engines = engines
+        self.javascript_engine = javascript_engine
         self.contents: dict[str, str] = {}  # of files that are asked for, by digest
         self.outputs: dict[str, Any] | None = None  # once all is done
         self._ready: list[Leaf] = []
@@ -109,7 +109,7 @@
         found = self._evaluators.get(key)
         if found is None:
             process = self.plan.processes[key]
-            found = self._evaluators[key] = Evaluator(self.engines, process.javascript, process.library)
+            found = self._evaluators[key] = Evaluator(self.javascript_engine, process.javascript, process.library)
         return found
 
     def start(self) -> None:
@@ -118,9 +118,9 @@
             raise FlowError("the plan's main process is no workflow")
         self._open(self.plan.main, "", self.order, Hints(), None)
 
-    def go(self, most: int | None = None) -> bool:
-        """Follow what is known, up to so many steps; is there more? Raises Needs, FlowError; after Needs it is called
-        again with the content there."""
+    def advance(self, most: int | None = None) -> bool:
+        """Follow what is known, up to so many steps; is there more? Raises FlowError, and ContentNeeded: called
+        again once the content is there."""
         looked = 0
         while self._queue and (most is None or looked < most):
             looked += 1
@@ -132,7 +132,7 @@
             self._queue.popleft()
         return bool(self._queue)
 
-    def take(self) -> list[Leaf]:
+    def take_ready(self) -> list[Leaf]:
         found, self._ready = self._ready, []
         return found
 
@@ -148,8 +148,8 @@
             if not isinstance(result, dict):
                 raise FlowError(f"{leaf.path}: the expression gives no object")
             for out in process.outputs:
-                if not fits(result.get(out.name), out.type):
-                    raise FlowError(f"{leaf.path}/{out.name}: expected {describe(out.type)}")
+                if not matches_type(result.get(out.name), out.type):
+                    raise FlowError(f"{leaf.path}/{out.name}: expected {describe_type(out.type)}")
             found.append({o.name: result.get(o.name) for o in process.outputs})
         return found
 
@@ -196,8 +196,8 @@
     def _output(self, frame: Frame, out: FlowOutput) -> Any:
         where = f"{frame.path}/{out.name}" if frame.path else out.name
         value = gather(out.source, frame.values, out.several, out.merge, out.pick, where)
-        if not fits(value, out.type):
-            raise FlowError(f"{where}: expected {describe(out.type)}")
+        if not matches_type(value, out.type):
+            raise FlowError(f"{where}: expected {describe_type(out.type)}")
         return value
 
     def _ended(self, node: Instance, event: StepEvent = StepEvent.ENDED) -> None:
@@ -231,7 +231,7 @@
             if "contents" not in file:
                 digest = file["location"].removeprefix(UPLOAD_PREFIX)
                 if digest not in self.contents:
-                    raise Needs(digest)
+                    raise ContentNeeded(digest)
         if isinstance(value, dict) and value.get("class") == "File" and "contents" not in value:
             return value | {"contents": self.contents[value["location"].removeprefix(UPLOAD_PREFIX)]}
         if isinstance(value, list):
@@ -244,8 +244,8 @@
             value = given.get(param.name)
             if value is None:
                 value = param.default
-            if not fits(value, param.type):
-                raise FlowError(f"{where}/{param.name}: expected {describe(param.type)}".lstrip("/"))
+            if not matches_type(value, param.type):
+                raise FlowError(f"{where}/{param.name}: expected {describe_type(param.type)}".lstrip("/"))
             made[param.name] = self._load(value) if param.load else value
         return made
 
--- a/winglift/flows/expressions.py
+++ b/winglift/flows/expressions.py
@@ -24,7 +24,7 @@
     """An expression that can't be evaluated; its text names it."""
 
 
-class Endless(ExpressionError):
+class ExpressionTimeout(ExpressionError):
     """It went on past its bound of time."""
 
 
@@ -111,7 +111,7 @@
 _LOCKED = "delete globalThis.Date; Math.random = undefined;"
 
 
-class Engines:
+class JavaScriptEngine:
     """JavaScript contexts, a few, by their library."""
 
     def __init__(
@@ -150,7 +150,7 @@
             self._contexts.pop(library, None)
             why = str(err).splitlines()[0]
             if "interrupted" in why:
-                raise Endless(f"{whole}: did not end within {self.time_s:g} s") from None
+                raise ExpressionTimeout(f"{whole}: did not end within {self.time_s:g} s") from None
             raise ExpressionError(f"{whole}: {why}") from None
         return None if result is None else msgspec.json.decode(result)
 
@@ -158,8 +158,10 @@
 class Evaluator:
     """Evaluates the texts of one process."""
 
-    def __init__(self, engines: Engines, javascript: bool, library: list[str] | tuple[str, ...] = ()) -> None:
-        self._engines = engines
+    def __init__(
+        self, javascript_engine: JavaScriptEngine, javascript: bool, library: list[str] | tuple[str, ...] = ()
+    ) -> None:
+        self._engines = javascript_engine
         self._javascript = javascript
         self._library = tuple(library)
 
--- a/winglift/flows/files.py
+++ b/winglift/flows/files.py
@@ -18,15 +18,15 @@
 from ..wire import flows as flow_messages
 
 
-class FilesError(Exception):
+class UploadStoreError(Exception):
     """The store did not do what it was asked; it may be asked again."""
 
 
-class Missing(FilesError):
+class UploadNotFound(UploadStoreError):
     """The store does not have it."""
 
 
-class Files:
+class UploadStoreClient:
     def __init__(self, host: str, port: int) -> None:
         self._http = current_runtime().client(host, port)
         self._sent: set[str] = set()
@@ -39,11 +39,11 @@
                 # Every request here can be repeated, and a kept connection may have been closed by the other side.
                 reply = await self._http.request(method, path, body, constants.FILES_TIMEOUT_S)
         except Unanswered as err:
-            raise FilesError(f"store of uploads: {err}") from None
+            raise UploadStoreError(f"store of uploads: {err}") from None
         if reply.status == 404:
-            raise Missing(f"store of uploads: no {path}")
+            raise UploadNotFound(f"store of uploads: no {path}")
         if reply.status != 200:
-            raise FilesError(f"store of uploads: {reply.status} for {path}")
+            raise UploadStoreError(f"store of uploads: {reply.status} for {path}")
         return reply.body
 
     async def put(self, content: bytes) -> str:
@@ -57,7 +57,7 @@
     async def get(self, digest: str) -> bytes:
         content = await self._call("GET", f"/blobs/{digest}")
         if hashlib.sha256(content).hexdigest() != digest:
-            raise FilesError(f"store of uploads: another content under {digest}")
+            raise UploadStoreError(f"store of uploads: another content under {digest}")
         return content
 
     async def describe(self, job: str, page: int, works: list[flow_messages.TaskDescription]) -> None:
@@ -71,7 +71,7 @@
             try:
                 page = flow_messages.task_results_decoder.decode(body)
             except msgspec.DecodeError as err:
-                raise FilesError(f"store of uploads: results of {job}: {err}") from None
+                raise UploadStoreError(f"store of uploads: results of {job}: {err}") from None
             items += page.items
             if not page.more or not page.items:
                 return items
--- a/winglift/flows/graph.py
+++ b/winglift/flows/graph.py
@@ -99,7 +99,7 @@
     return plan, graph(plan)
 
 
-def plain(path: str) -> str:
+def graph_path(path: str) -> str:
     """The path without numbers of scattered subworkflows: "a[3]/b" is an instance of "a/b"."""
     return "/".join(part.partition("[")[0] for part in path.split("/"))
 
--- a/winglift/flows/parts.py
+++ b/winglift/flows/parts.py
@@ -8,7 +8,7 @@
 from .. import constants
 from ..wire.flows import Hints, Tool
 from ..wire.users import InvalidMessage, Kind, Priority, Submission, encode, parse_submission
-from .command import Builder, Made, Size
+from .command import Made, Size, TaskBuilder
 from .engine import Engine, Leaf
 from .values import FlowError, bare, digest, job_ref
 
@@ -23,11 +23,11 @@
     made: list[Made]
 
 
-def builder(engine: Engine, leaf: Leaf, place: int) -> Builder:
+def builder(engine: Engine, leaf: Leaf, place: int) -> TaskBuilder:
     tool = engine.plan.processes[leaf.process]
     assert isinstance(tool, Tool)
     where = leaf.path if leaf.node.shape is None else f"{leaf.path}[{leaf.node.places[place]}]"
-    return Builder(tool, leaf.elements[place], engine.evaluator(leaf.process), where)
+    return TaskBuilder(tool, leaf.elements[place], engine.evaluator(leaf.process), where)
 
 
 async def parts(engine: Engine, flow: str, leaf: Leaf) -> list[Part]:
--- a/winglift/flows/records.py
+++ b/winglift/flows/records.py
@@ -16,11 +16,11 @@
 
 T = TypeVar("T")
 
-HEAD = "flow/"
+FLOW_PREFIX = "flow/"
 STEP = "flowstep/"
 
 
-class Head(msgspec.Struct, omit_defaults=True):
+class FlowRecord(msgspec.Struct, omit_defaults=True):
     """`tidy`: all jobs of a workflow that ended early are known to be cancelled. `swept`: its step records are
     removed."""
 
@@ -49,7 +49,7 @@
     tasks: int = 1
 
 
-_heads = msgspec.json.Decoder(Head)
+_heads = msgspec.json.Decoder(FlowRecord)
 _steps = msgspec.json.Decoder(StepRecord)
 
 
@@ -60,11 +60,11 @@
         raise InvalidRecord(str(err)) from None
 
 
-def decode_head(value: bytes | msgspec.Raw) -> Head:
+def decode_flow_record(value: bytes | msgspec.Raw) -> FlowRecord:
     return _decode(_heads, value)
 
 
-def decode_step(value: bytes | msgspec.Raw) -> StepRecord:
+def decode_step_record(value: bytes | msgspec.Raw) -> StepRecord:
     return _decode(_steps, value)
 
 
@@ -85,7 +85,7 @@
     return step_prefix(flow) + job_ref(flow, path, "step").removeprefix("wk-")
 
 
-def reply(head: Head, **more: Any) -> FlowReply:
+def reply(head: FlowRecord, **more: Any) -> FlowReply:
     return FlowReply(
         head.sub.ref,
         head.state,
--- a/winglift/flows/run.py
+++ b/winglift/flows/run.py
@@ -26,9 +26,9 @@
 from ..wire import state as state_messages
 from ..wire.flows import Expression, FlowState, StepOutcome, TaskResultItem, Tool
 from . import records
-from .engine import Engine, Leaf, Needs
-from .files import FilesError
-from .graph import Division, Node, lay_open, plain
+from .engine import ContentNeeded, Engine, Leaf
+from .files import UploadStoreError
+from .graph import Division, Node, graph_path, lay_open
 from .leader import Leader, StepFailed, Superseded
 from .parts import Part, builder, key_of, parts, submission
 from .values import FlowError
@@ -47,7 +47,7 @@
 
 
 class Run:
-    def __init__(self, leader: Leader, head: records.Head, version: int) -> None:
+    def __init__(self, leader: Leader, head: records.FlowRecord, version: int) -> None:
         self.leader = leader
         self.ref = head.sub.ref
         self.head = head
@@ -78,12 +78,12 @@
         for flow, found in ((self.ref, self.records), (sub.reuse, self.reuse)):
             if flow is not None:
                 for item in (await leader.state.list(records.step_prefix(flow)))[0]:
-                    record = records.decode_step(item.value)
+                    record = records.decode_step_record(item.value)
                     if found is self.records:
                         found[record.path] = record
                     elif record.how is StepOutcome.DONE and record.key:
                         found[record.key] = record
-        self.engine = Engine(plan, order, leader.engines)
+        self.engine = Engine(plan, order, leader.javascript_engine)
         await self._follow(self.engine.start)
         await self._settle()
         # Which of these were submitted by an earlier leader, only their records tell.
@@ -99,10 +99,10 @@
                         call()
                         call = None
                     # A wide graph has thousands of steps at once: the leader's other work goes on in between.
-                    while self.engine.go(constants.FLOW_STEP_BATCH_MAX):
+                    while self.engine.advance(constants.FLOW_STEP_BATCH_MAX):
                         await asyncio.sleep(0)
                     return
-                except Needs as need:
+                except ContentNeeded as need:
                     content = await self.leader.files.get(need.digest)
                     if len(content) > constants.LOAD_CONTENTS_MAX_BYTES:
                         raise FlowError(
@@ -110,7 +110,7 @@
                         ) from None
                     self.engine.contents[need.digest] = content.decode(errors="replace")
         finally:
-            self._inbox.extend(self.engine.take())
+            self._inbox.extend(self.engine.take_ready())
 
     async def _settle(self) -> None:
         """Sort what can run into what has ended already, and so leads on, and what is to be run."""
@@ -134,10 +134,10 @@
             assert record.digest is not None
             try:
                 results = msgspec.json.decode(await self.leader.files.get(record.digest), type=list[dict[str, Any]])
-            except FilesError:
+            except UploadStoreError:
                 self._inbox.appendleft(leaf)
                 raise
-        path = plain(leaf.path)
+        path = graph_path(leaf.path)
         self._ends[path] = max(self._ends.get(path, 0.0), record.ended)
         self._dues = None
         self._machines.setdefault(path, set()).update(record.machines)
@@ -149,7 +149,7 @@
     async def _commit(self, changes: list[Any], absent: str | None = None) -> int | None:
         """The revision; None if the key that had to be absent is there. Raises Superseded, Refused, Unknown."""
         leader = self.leader
-        conditions = [leader.leadership(), state_messages.Condition(records.HEAD + self.ref, self.version)]
+        conditions = [leader.leadership(), state_messages.Condition(records.FLOW_PREFIX + self.ref, self.version)]
         if absent is not None:
             conditions.append(state_messages.Condition(absent, 0))
         try:
@@ -163,8 +163,8 @@
             return None
         raise Superseded(f"{self.ref}: {', '.join(result.failed)} changed")
 
-    async def _write_head(self, head: records.Head) -> None:
-        revision = await self._commit([state_messages.Put(records.HEAD + self.ref, head)])
+    async def _write_head(self, head: records.FlowRecord) -> None:
+        revision = await self._commit([state_messages.Put(records.FLOW_PREFIX + self.ref, head)])
         assert revision is not None  # no key had to be absent
         self.head, self.version = head, revision
 
@@ -235,7 +235,7 @@
             return
         found = Open(leaf, await parts(self.engine, self.ref, leaf), key)
         due = self._due(leaf, found.parts)
-        near = frozenset().union(*(self._machines.get(p, set()) for p in self.nodes[plain(leaf.path)].parents))
+        near = frozenset().union(*(self._machines.get(p, set()) for p in self.nodes[graph_path(leaf.path)].parents))
         for part in found.parts:
             await self._submit(part, process, leaf, due, near)
         self.open[leaf.path] = found
@@ -243,7 +243,7 @@
     def _due(self, leaf: Leaf, found: list[Part]) -> float | None:
         """Sub-deadline of a step, of the whole divided anew by what is known now: time of day, or None."""
         sub = self.head.sub
-        path = plain(leaf.path)
+        path = graph_path(leaf.path)
         team = next((t for t in self.leader.settings.settings.teams if t.name == (leaf.hints.team or sub.team)), None)
         rows = 0.0
         for part in found:
--- a/winglift/flows/service.py
+++ b/winglift/flows/service.py
@@ -21,11 +21,11 @@
 from ..wire.users import InvalidMessage, JobStatus
 from . import records
 from .driver import Driver
-from .expressions import Engines
-from .files import Files, FilesError, Missing
-from .graph import Node, lay_open, plain
+from .expressions import JavaScriptEngine
+from .files import UploadNotFound, UploadStoreClient, UploadStoreError
+from .graph import Node, graph_path, lay_open
 from .settings import FlowSettings
-from .sweep import OldSteps
+from .sweep import StepRecordSweeper
 from .values import FlowError, job_ref
 
 log = logging.getLogger(__name__)
@@ -42,12 +42,12 @@
     """The id belongs to another workflow (409)."""
 
 
-class Flows:
+class FlowService:
     def __init__(self, settings: FlowSettings, node: Host) -> None:
         self.node = node
         self.settings = settings
-        self.files = Files(*parse_addr(settings.files, "files"))
-        self.engines = Engines(settings.expressions.time_s, settings.expressions.memory_mb)
+        self.files = UploadStoreClient(*parse_addr(settings.files, "files"))
+        self.javascript_engine = JavaScriptEngine(settings.expressions.time_s, settings.expressions.memory_mb)
         self.driver: Driver | None = None
         self._graphs: OrderedDict[str, dict[str, Node]] = OrderedDict()
 
@@ -60,8 +60,8 @@
         return [(r"/flows", Submit, args), (r"/flows/([^/]*)", Status, args), (r"/flows/([^/]*)/abort", Cancel, args)]
 
     def on_leadership_gained(self, controller: LeaderTerm) -> None:
-        self.driver = Driver(controller, self.jobs, self.files, self.engines, self.settings)
-        controller.garbage_collector.sweepers.append(OldSteps(controller.state))
+        self.driver = Driver(controller, self.jobs, self.files, self.javascript_engine, self.settings)
+        controller.garbage_collector.sweepers.append(StepRecordSweeper(controller.state))
 
     def on_leadership_lost(self) -> None:
         if self.driver is not None:
@@ -71,19 +71,19 @@
     # -- what users ask for --------------------------------------------------------------------
 
     async def _graph(self, plan: str) -> dict[str, Node]:
-        """The steps of a plan; raises Invalid, FlowError, FilesError."""
+        """The steps of a plan; raises InvalidMessage, FlowError, UploadStoreError."""
         if plan not in self._graphs:
             self._graphs[plan] = (await asyncio.to_thread(lay_open, await self.files.get(plan)))[1]
             while len(self._graphs) > 1 and sum(map(len, self._graphs.values())) > constants.FLOW_STEPS_MAX:
                 self._graphs.popitem(last=False)
         return self._graphs[plan]
 
-    async def _head(self, ref: str) -> tuple[records.Head, int] | None:
+    async def _head(self, ref: str) -> tuple[records.FlowRecord, int] | None:
         try:
-            item = await self.node.state.get(records.HEAD + ref, timeout=constants.STATUS_TIMEOUT_S)
+            item = await self.node.state.get(records.FLOW_PREFIX + ref, timeout=constants.STATUS_TIMEOUT_S)
         except (RequestRejected, OutcomeUnknown) as err:
             raise TemporarilyUnavailable(str(err)) from None
-        return None if item is None else (records.decode_head(item.value), item.version)
+        return None if item is None else (records.decode_flow_record(item.value), item.version)
 
     async def submit(self, sub: FlowSubmission) -> tuple[int, FlowReply]:
         """Accept a workflow: 201 once it is committed (invariant 4), 200 if it is known already."""
@@ -94,19 +94,19 @@
             try:
                 await self._graph(sub.plan)
                 await self.files.get(sub.order)
-            except Missing as err:
+            except UploadNotFound as err:
                 raise InvalidMessage(f"plan, order: {err}") from None
             except FlowError as err:
                 raise InvalidMessage(f"plan: {err}") from None
-            except FilesError as err:
+            except UploadStoreError as err:
                 raise TemporarilyUnavailable(str(err)) from None
             if sub.reuse is not None:
                 earlier = await self._head(sub.reuse)
                 # What another team's workflow has found is nobody else's to see.
                 if earlier is None or earlier[0].sub.team != sub.team:
                     raise Unschedulable(f"reuse: {sub.team} has no workflow {sub.reuse}")
-            head = records.Head(sub, wall_time())
-            key = records.HEAD + sub.ref
+            head = records.FlowRecord(sub, wall_time())
+            key = records.FLOW_PREFIX + sub.ref
             txn = state_messages.Transaction([state_messages.Condition(key, 0)], [state_messages.Put(key, head)])
             try:
                 result = await self.node.state.commit(txn, timeout=constants.SUBMIT_TIMEOUT_S)
@@ -133,12 +133,12 @@
         try:
             items = (await self.node.state.list(records.step_prefix(ref)))[0]
             nodes = await self._graph(head.sub.plan)
-        except (RequestRejected, OutcomeUnknown, FilesError) as err:
+        except (RequestRejected, OutcomeUnknown, UploadStoreError) as err:
             raise TemporarilyUnavailable(str(err)) from None
         except (InvalidMessage, FlowError):
             return records.reply(head)
-        ended = [records.decode_step(item.value) for item in items]
-        over = {plain(r.path) for r in ended}
+        ended = [records.decode_step_record(item.value) for item in items]
+        over = {graph_path(r.path) for r in ended}
         steps = [
             StepReply(r.path, r.how.value, r.tasks, r.tasks if r.how is StepOutcome.DONE else 0, r.jobs) for r in ended
         ]
@@ -148,7 +148,7 @@
             if path not in over
         ]
         order = {path: number for number, path in enumerate(nodes)}
-        steps.sort(key=lambda s: (order.get(plain(s.path), 0), s.path))
+        steps.sort(key=lambda s: (order.get(graph_path(s.path), 0), s.path))
         page = steps[start : start + constants.FLOW_STEPS_PER_PAGE_MAX]
         if head.state is FlowState.OPEN:
             page = [
@@ -170,11 +170,11 @@
 
     async def listing(self, after: str) -> flow_messages.FlowList:
         try:
-            items, _ = await self.node.state.list(records.HEAD)
+            items, _ = await self.node.state.list(records.FLOW_PREFIX)
         except (RequestRejected, OutcomeUnknown) as err:
             raise TemporarilyUnavailable(str(err)) from None
-        later = [i for i in items if i.key > records.HEAD + after]
-        found = [records.reply(records.decode_head(i.value)) for i in later[: constants.FLOWS_PER_PAGE_MAX]]
+        later = [i for i in items if i.key > records.FLOW_PREFIX + after]
+        found = [records.reply(records.decode_flow_record(i.value)) for i in later[: constants.FLOWS_PER_PAGE_MAX]]
         return flow_messages.FlowList(found, len(later) > constants.FLOWS_PER_PAGE_MAX, self.settings.files)
 
     async def cancel(self, ref: str) -> FlowReply | None:
@@ -188,7 +188,7 @@
             if head.state is not FlowState.OPEN:
                 return records.reply(head)
             head.state = FlowState.CANCELLED
-            key = records.HEAD + ref
+            key = records.FLOW_PREFIX + ref
             try:
                 result = await self.node.state.commit(
                     state_messages.Transaction(
@@ -205,7 +205,7 @@
 
 
 class ForFlows(UserHandler):
-    def initialize(self, node: ApiHost, flows: Flows) -> None:  # type: ignore[override]
+    def initialize(self, node: ApiHost, flows: FlowService) -> None:  # type: ignore[override]
         self.node = node
         self.flows = flows
 
--- a/winglift/flows/sweep.py
+++ b/winglift/flows/sweep.py
@@ -11,7 +11,7 @@
 from . import records
 
 
-class OldSteps:
+class StepRecordSweeper:
     """Heads stay, with state and outputs; `swept` says that a workflow's steps are gone."""
 
     def __init__(self, state: StateClient) -> None:
@@ -23,10 +23,10 @@
             return []
         found: list[Removal] = []
         now = wall_time()
-        heads, _ = await self.state.list(records.HEAD)
+        heads, _ = await self.state.list(records.FLOW_PREFIX)
         for item in heads:
             try:
-                head = records.decode_head(item.value)
+                head = records.decode_flow_record(item.value)
             except records.InvalidRecord:
                 continue  # not written by this program: left alone
             over = head.state is FlowState.DONE or head.tidy
@@ -39,13 +39,13 @@
         return found
 
     async def _steps(
-        self, item: state_messages.Item, head: records.Head, max_changes: int, now: float
+        self, item: state_messages.Item, head: records.FlowRecord, max_changes: int, now: float
     ) -> list[Removal]:
         ref = head.sub.ref
         steps, _ = await self.state.list(records.step_prefix(ref))
         for step in steps:
             try:
-                if now - records.decode_step(step.value).ended < constants.GC_FLOW_STEP_RETENTION_S:
+                if now - records.decode_step_record(step.value).ended < constants.GC_FLOW_STEP_RETENTION_S:
                     return []
             except records.InvalidRecord:
                 return []
--- a/winglift/flows/values.py
+++ b/winglift/flows/values.py
@@ -14,18 +14,20 @@
     """A workflow that can't go on; the text names the place."""
 
 
-def fits(value: Any, kind: Any) -> bool:
+def matches_type(value: Any, kind: Any) -> bool:
     """Is a value of a normalised type?"""
     if isinstance(kind, list):
-        return any(fits(value, k) for k in kind)
+        return any(matches_type(value, k) for k in kind)
     if isinstance(kind, dict):
         if "array" in kind:
-            return isinstance(value, list) and all(fits(v, kind["array"]) for v in value)
+            return isinstance(value, list) and all(matches_type(v, kind["array"]) for v in value)
         if "enum" in kind:
             return value in kind["enum"]
         fields = kind["record"]
         return (
-            isinstance(value, dict) and "class" not in value and all(fits(value.get(f), t) for f, t in fields.items())
+            isinstance(value, dict)
+            and "class" not in value
+            and all(matches_type(value.get(f), t) for f, t in fields.items())
         )
     match kind:
         case "null":
@@ -44,12 +46,12 @@
             return isinstance(value, dict) and value.get("class") == kind
 
 
-def describe(kind: Any) -> str:
+def describe_type(kind: Any) -> str:
     if isinstance(kind, list):
-        return " or ".join(map(describe, kind))
+        return " or ".join(map(describe_type, kind))
     if isinstance(kind, dict):
         if "array" in kind:
-            return f"array of {describe(kind['array'])}"
+            return f"array of {describe_type(kind['array'])}"
         return "one of " + ", ".join(kind["enum"]) if "enum" in kind else "record"
     return kind
 
