--- a/winglift/api/handlers.py
+++ b/winglift/api/handlers.py
@@ -27,13 +27,13 @@
         ...
 
     def crowded(self) -> bool:
-        """Whether so many connections are open that users are to be refused."""
+        """Whether so many connections are open that users' requests are refused."""
 
     def not_up(self) -> str | None:
         """The reason why the node can't serve requests, or None if it can."""
 
 
-class Base(web.RequestHandler):
+class BaseHandler(web.RequestHandler):
     """Base of all handlers: JSON responses, and errors as `{"error": text}`."""
 
     node: ApiHost
@@ -43,11 +43,11 @@
         self.node = node
 
     def check_etag_header(self) -> bool:
-        """No conditional requests."""
+        """Conditional requests are not supported."""
         return False
 
     def compute_etag(self) -> None:
-        """No ETag header."""
+        """Sends no ETag header."""
         return None
 
     def set_default_headers(self) -> None:
@@ -79,15 +79,15 @@
             )
 
     def parse_ref(self, text: str) -> str | None:
-        """The job id in a path; None if it is malformed, which has then been answered with 400."""
+        """Return the job id in a path; if it is malformed, answer with 400 and return None."""
         if user_messages.is_ref(text):
             return text
         self.refuse(400, "ref: expected the form wk-000412")
         return None
 
 
-class UserHandler(Base):
-    """Base of the handlers for users, who are refused while the node runs short of sockets."""
+class UserHandler(BaseHandler):
+    """Base of the handlers for users. Their requests are refused while the node runs short of sockets."""
 
     def prepare(self) -> None:
         """Refuse the request with 503 if too many connections are open."""
@@ -163,7 +163,7 @@
         await self.answer(text, self.node.jobs.cancel)
 
 
-class Up(Base):
+class Up(BaseHandler):
     """GET /up: the health check."""
 
     def get(self) -> None:
@@ -175,8 +175,8 @@
             self.refuse(503, reason, constants.RETRY_AFTER_S)
 
 
-class NotFound(Base):
-    """Answers all other paths."""
+class NotFound(BaseHandler):
+    """Handles all other paths."""
 
     def prepare(self) -> None:
         """Answer 404, whatever the method."""
@@ -184,7 +184,7 @@
 
 
 def _log_request(handler: web.RequestHandler) -> None:
-    """Log server errors only, at debug level: a day has hundreds of thousands of requests."""
+    """Log only server errors, at debug level, since there are hundreds of thousands of requests a day."""
     if handler.get_status() >= 500 and log.isEnabledFor(logging.DEBUG):
         request: HTTPServerRequest = handler.request
         log.debug("request: answered: status=%d method=%s path=%s", handler.get_status(), request.method, request.path)
--- a/winglift/api/jobs.py
+++ b/winglift/api/jobs.py
@@ -26,7 +26,7 @@
 
 
 class TemporarilyUnavailable(JobRequestError):
-    """The request can't be decided now (503); `retry_after` in s tells the user when to retry."""
+    """The request can't be decided at present (503); `retry_after`: s after which the user should retry."""
 
     def __init__(self, reason: str, retry_after: int = constants.RETRY_AFTER_S) -> None:
         super().__init__(reason)
@@ -38,7 +38,7 @@
 
 
 def status_of(record: records.JobRecord, ref: str) -> StatusReply:
-    """The status that a record gives for its job."""
+    """The status of a job according to its record."""
     state = JobState(record.state)
     done = records.done_count(record)
     if state is JobState.DONE:
@@ -85,7 +85,7 @@
         self.settings = settings
         self.state = state
         self.types = types
-        self.withdrawn_types = withdrawn_types  # types that the cloud offered earlier, but not at present
+        self.withdrawn_types = withdrawn_types  # types that the cloud offered earlier but does not offer at present
         self._on_change = on_change
         self._on_seen = on_seen  # called with each record that is reported to a user, whichever node committed it
         self._final_states: OrderedDict[str, StatusReply] = OrderedDict()
@@ -95,14 +95,14 @@
         )
 
     def cache_final_state(self, ref: str, reply: StatusReply) -> None:
-        """Cache the reply of a finished job: it never changes, so later requests need no read."""
+        """Cache the reply for a finished job: its state never changes, so later requests need no read."""
         if reply.status in (JobStatus.DONE, JobStatus.CANCELLED):
             self._final_states[ref] = reply
             while len(self._final_states) > constants.FINAL_STATES_CACHED:
                 self._final_states.popitem(last=False)
 
     def _unavailable(self, reason: str) -> TemporarilyUnavailable:
-        """The error for a request that the state service did not answer."""
+        """The error to raise if the state service did not answer."""
         down = self.state.health() is Health.DOWN
         return TemporarilyUnavailable(reason, constants.RETRY_AFTER_DOWN_S if down else constants.RETRY_AFTER_S)
 
@@ -130,7 +130,7 @@
         return reply
 
     async def submit(self, spec: Submission) -> tuple[int, StatusReply]:
-        """Accept a job, or find that it is known: status code (201 or 200) and reply.
+        """Accept a job; return the reply with status code 201, or 200 if it was accepted before.
 
         Raises Unschedulable, TemporarilyUnavailable or InvalidRecord. A job is acknowledged only once its record is
         committed (invariant 4).
@@ -143,7 +143,7 @@
             return 200, known
         record = records.new_record(spec, wall_time())
         if len(encode(record)) > self.settings.settings.state.value_kb * 1024 * constants.NEW_RECORD_SHARE:
-            raise Unschedulable("the description is too long to be kept")
+            raise Unschedulable("the job description is too large to store")
         return await self._commit_new(spec.ref, record)
 
     async def _check_feasible(self, spec: Submission) -> StatusReply | None:
@@ -152,25 +152,25 @@
         Raises Unschedulable, or TemporarilyUnavailable while the machine types are not known.
         """
         types = self.types()
-        # What seems impossible may be a repeat of a job that is accepted already: it is read before a 422.
-        # Whether the types are known is decided once, before the read: they once arrived during it, and a job that
-        # could run was refused with 422.
-        unknown = not types
-        reason = "machine types are not known yet" if unknown else feasible(spec, self.settings, types)
+        # A submission that seems impossible may repeat a job that was accepted before: its record is read before a 422.
+        # Whether the types are known is decided once, before that read: when they arrived during it, a job that could
+        # run was refused with 422.
+        types_unknown = not types
+        reason = "machine types are not known yet" if types_unknown else feasible(spec, self.settings, types)
         if reason is None:
             return None
         known = await self.status(spec.ref)
         if known is not None:
             return known
-        if not unknown and feasible(spec, self.settings, types | self.withdrawn_types()) is None:
-            # The cloud's list of types may be incomplete for a moment; a refusal with 422 is final.
+        if not types_unknown and feasible(spec, self.settings, types | self.withdrawn_types()) is None:
+            # The cloud's list of types may be incomplete for a short time, and a refusal with 422 is final.
             raise TemporarilyUnavailable("the only machine type that it fits is not offered now")
-        raise TemporarilyUnavailable(reason) if unknown else Unschedulable(reason)
+        raise TemporarilyUnavailable(reason) if types_unknown else Unschedulable(reason)
 
     async def _commit_new(self, ref: str, record: records.JobRecord) -> tuple[int, StatusReply]:
         """Commit the record of a new job: 201, or 200 if a record of it exists. Raises TemporarilyUnavailable."""
         condition, put = records.record_change(ref, 0, JobState.OPEN, record)
-        sent = monotonic_time()
+        sent_at = monotonic_time()
         try:
             result = await self.state.commit(
                 state_messages.Transaction([condition], [put]), timeout=constants.SUBMIT_TIMEOUT_S
@@ -178,7 +178,7 @@
         except (RequestRejected, LeaseExpired) as err:
             raise self._unavailable(str(err)) from None
         except OutcomeUnknown as err:
-            # It may have been committed. Only a read shows; if that fails too, the user retries.
+            # Only a read shows whether it was committed; if that fails too, the user retries.
             known = await self.status(ref)
             if known is not None:
                 return 200, known
@@ -186,14 +186,14 @@
         if isinstance(result, state_messages.Conflict):
             known = await self.status(ref)
             if known is None:
-                raise TemporarilyUnavailable("the state service contradicts itself")
+                raise TemporarilyUnavailable("the state service gave contradictory answers")
             return 200, known
-        # Announced only now, after the commit (invariant 4).
+        # Announced only after the commit (invariant 4: a job is acknowledged once its record is committed).
         self._read_cache.add_record(ref, result.revision, record)
         self._on_change(ref, result.revision, record)
-        if monotonic_time() - sent > constants.SUBMIT_TIMEOUT_S + constants.REFRESH_VALID_S:
-            # Another node may have answered a copy of the request, and the job may be finished: the user asks again.
-            raise TemporarilyUnavailable("this node stood still")
+        if monotonic_time() - sent_at > constants.SUBMIT_TIMEOUT_S + constants.REFRESH_VALID_S:
+            # Another node may have accepted a copy of the request, and the job may even be finished: the user retries.
+            raise TemporarilyUnavailable("this node was paused")
         return 201, StatusReply(ref, JobStatus.QUEUED)
 
     async def cancel(self, ref: str) -> StatusReply | None:
@@ -205,20 +205,20 @@
         if final is not None:
             return final
         for _ in range(constants.CANCEL_TRIES):
-            found = await self._read(ref)
-            if found is None:
+            versioned_record = await self._read(ref)
+            if versioned_record is None:
                 return None
-            record, version = found
+            record, version = versioned_record
             reply = status_of(record, ref)
             old_state = JobState(record.state)
             if old_state.is_final:
-                # Written perhaps by this node's own transaction that got no answer, or by a node that crashed before
-                # it notified any other: the node that confirms a final state handles it, whoever has written it.
+                # It may have been written by a transaction of this node that got no answer, or by a node that crashed
+                # before it notified any other: the node that confirms a final state handles it, whichever wrote it.
                 self._on_seen(ref, version, record)
                 self.cache_final_state(ref, reply)
                 return reply
             record.state = JobState.CANCELLED.value
-            # Read before the commit, and so before the user is answered: any later leader counts cancel_s from it.
+            # Taken before the commit, and so before the user is answered: any later leader counts cancel_s from it.
             record.cancelled_at = wall_time()
             condition, put = records.record_change(ref, version, old_state, record)
             try:
@@ -232,4 +232,4 @@
                 reply = status_of(record, ref)
                 self.cache_final_state(ref, reply)
                 return reply
-        raise TemporarilyUnavailable("the job changes too often just now")
+        raise TemporarilyUnavailable("the job changes too often at present")
--- a/winglift/api/report_fast_path.py
+++ b/winglift/api/report_fast_path.py
@@ -1,4 +1,4 @@
-"""Fast path for workers' reports: they bypass tornado's routing and handlers, all else goes to the application.
+"""Fast path for workers' reports, which bypasses tornado's routing and handlers; other requests take the usual path.
 
 Reports (PROTOCOL, "POST /v1/report") are by far the most frequent requests.
 """
@@ -20,7 +20,7 @@
 class ReportFastPath(httputil.HTTPServerConnectionDelegate):
     """Dispatches requests: reports to `on_report`, all others to the web application.
 
-    At 515 machines, a web handler per report took a third of each node's processor time.
+    With 515 machines, a web handler per report took a third of each node's CPU time.
     """
 
     def __init__(self, application: web.Application, on_report: ReportHandler) -> None:
@@ -47,21 +47,21 @@
         self.chunks: list[bytes] = []
 
     def headers_received(self, start_line, headers):  # type: ignore[no-untyped-def]
-        """Choose the path by method and path."""
+        """Choose the fast path or the application by the request's method and path."""
         if start_line.method == "POST" and start_line.path == REPORT:
             return None
         self.delegate = self.fast_path.application.start_request(self.server_conn, self.request_conn)
         return self.delegate.headers_received(start_line, headers)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        """Collect a part of a report's body, or pass it on."""
+        """Collect a chunk of a report's body, or pass it on."""
         if self.delegate is not None:
             return self.delegate.data_received(chunk)
         self.chunks.append(chunk)
         return None
 
     def finish(self) -> None:
-        """Handle the complete request; a report may be answered later, once its future is done."""
+        """Handle the complete request; a forwarded report is answered once its future is done."""
         if self.delegate is not None:
             self.delegate.finish()
             return
--- a/winglift/cloud/client.py
+++ b/winglift/cloud/client.py
@@ -18,12 +18,12 @@
 log = logging.getLogger(__name__)
 
 LEADER_RATE_SHARE = 0.8  # of the rate that the cloud allows
-FOLLOWERS_RATE_SHARE = 0.2  # of it, for all nodes that don't lead together
-BUDGET_WAIT_MARGIN_S = 0.002  # s waited beyond the time when the budget allows a call
+FOLLOWERS_RATE_SHARE = 0.2  # of the same rate, shared by all followers
+BUDGET_WAIT_MARGIN_S = 0.002  # s waited after the budget allows a call
 
 
 class CloudError(Exception):
-    """An error or no answer: the request may have been carried out or may yet be."""
+    """The cloud answered with an error or not at all: the request may have been executed, or may still be."""
 
 
 class NotAuthorized(CloudError):
@@ -47,24 +47,25 @@
         self._http = current_runtime().client(host, port)
         self._limits = limits
         self._nodes = nodes
-        # May this node send requests that change anything?
+        # Whether this node may send requests that change anything.
         self.may_change: Callable[[], bool] = lambda: True
-        # As a leader in doubt, may it still delete machines that hold cancelled tasks?
+        # Whether a leader whose lease is in doubt may still delete machines that hold cancelled tasks.
         self.may_enforce_cancellations: Callable[[], bool] = lambda: False
-        # Without the fence: are these machines still to be deleted for cancelled jobs, by a node that may not lead?
+        # For deletions without the fence, by a node that may not lead: whether all these machines are still to be
+        # deleted for cancelled jobs.
         self.may_delete_unfenced: Callable[[list[str]], bool] = lambda names: False
         self._budget = Budget(limits.rps, limits.rps)
-        # Deletions for cancelled tasks that wait for their turn: all other calls wait until they are sent.
+        # Number of deletions for cancelled tasks that wait for the budget: all other calls wait until they are sent.
         self._cancellation_calls_waiting = 0
         self.set_leading(False)
 
     def set_leading(self, leads: bool) -> None:
-        """Set this node's share of the rate: the leader has most of it, the others only request the types."""
+        """Set this node's share of the rate: the leader has most of it, followers only request the machine types."""
         share = LEADER_RATE_SHARE if leads or self._nodes == 1 else FOLLOWERS_RATE_SHARE / max(1, self._nodes - 1)
         self._budget.resize(self._limits.rps * share, max(1.0, self._limits.rps * share), monotonic_time())
 
     async def turn(self) -> None:
-        """Wait until a call could be sent at once; rentals gathered meanwhile go as one request."""
+        """Wait until the budget allows a call; rentals of a pool that are decided meanwhile become one request."""
         while self._cancellation_calls_waiting or self._budget.free(monotonic_time()) < 1:
             await asyncio.sleep(self._budget.wait_s(monotonic_time()) + BUDGET_WAIT_MARGIN_S)
 
@@ -76,9 +77,9 @@
         for_cancellation: bool = False,
         door: Callable[[], bool] = lambda: False,
     ) -> Reply:
-        """Send a request when the rate allows it. Raises NotAuthorized, or CloudError without an answer.
+        """Send a request once the budget allows it. Raises NotAuthorized, or CloudError if there is no answer.
 
-        `door`: whether a request that the fence would stop may be sent all the same.
+        `door`: whether a request that the fence rejects may be sent nevertheless.
         """
         self._cancellation_calls_waiting += for_cancellation
         try:
@@ -88,7 +89,7 @@
                 await asyncio.sleep(self._budget.wait_s(monotonic_time()) + BUDGET_WAIT_MARGIN_S)
         finally:
             self._cancellation_calls_waiting -= for_cancellation
-        # A node that was paused resumed in this queue: what it had decided before is another leader's to decide now.
+        # Checked after the wait: the node may have been paused in it, and another leader may have taken over.
         if (
             body is not None
             and not self.may_change()
@@ -114,21 +115,21 @@
             raise CloudError(f"cloud: answer that can't be decoded: {err}") from None
 
     async def types(self) -> dict[str, cloud_messages.MachineType]:
-        """The machine types now offered, with current prices. Raises CloudError."""
-        found: dict[str, cloud_messages.MachineType] = {}
+        """The machine types offered at present, with current prices. Raises CloudError."""
+        offered_types: dict[str, cloud_messages.MachineType] = {}
         for raw in self._decode(_types_decoder, await self._call("GET", "/flavors")).types:
             try:
                 machine_type = cloud_messages.machine_type(raw)
             except ValueError as err:
                 log.error("machine type: invalid, left out: error=%s", err)
                 continue
-            found[machine_type.name] = machine_type
-        return found
+            offered_types[machine_type.name] = machine_type
+        return offered_types
 
     async def rent(self, request: cloud_messages.Rent) -> list[str]:
-        """Rent machines and return their names. A repeated request name (`hire`) is idempotent.
+        """Rent machines and return their names. Repeating a request under the same name (`hire`) rents nothing more.
 
-        Raises NoCapacity, or CloudError if it is not known what happened.
+        Raises NoCapacity, or CloudError if the outcome is unknown.
         """
         reply = await self._call("POST", "/hosts", msgspec.json.encode(request))
         if reply.status == 503 and b"no capacity" in reply.body:
@@ -138,7 +139,7 @@
     async def delete(self, names: list[str], for_cancellation: bool = False) -> None:
         """Delete machines, at most 100. Raises CloudError.
 
-        `for_cancellation`: each of them holds a cancelled task, so a leader in doubt may delete it too.
+        `for_cancellation`: each of them holds a cancelled task, so a leader whose lease is in doubt may delete it too.
         """
         reply = await self._call(
             "POST", "/hosts/delete", msgspec.json.encode(cloud_messages.Names(names)), for_cancellation
@@ -147,10 +148,11 @@
             raise CloudError(f"cloud: {reply.status} for a deletion")
 
     async def delete_for_cancellation(self, names: list[str]) -> None:
-        """Delete machines that may hold tasks of cancelled jobs, without the fence; the only such request.
+        """Delete machines that may hold tasks of cancelled jobs. No other request bypasses the fence.
 
-        No other node enforces these cancellations. What demands the deletion is committed in the jobs' records, names
-        the machines, and holds whichever node leads (invariant 8). Raises CloudError.
+        No leader is known to enforce these cancellations. The committed job records require the deletion, name the
+        machines, and are valid whichever node leads (invariant 8: confirmed cancellations are enforced). Raises
+        CloudError.
         """
         reply = await self._call(
             "POST",
@@ -163,13 +165,13 @@
             raise CloudError(f"cloud: {reply.status} for a deletion")
 
     async def list(self) -> list[cloud_messages.Listed]:
-        """All machines, read page by page; the list is as old as the cloud's lag. Raises CloudError."""
-        found: list[cloud_messages.Listed] = []
+        """All machines, read page by page; the result may be as old as the cloud's list lag. Raises CloudError."""
+        machines: list[cloud_messages.Listed] = []
         after = ""
         while True:
             path = f"/hosts?limit={constants.LIST_PAGE}" + (f"&after={after}" if after else "")
             reply = self._decode(_listing_decoder, await self._call("GET", path))
-            found += reply.machines
+            machines += reply.machines
             if not reply.more or not reply.machines:
-                return found
+                return machines
             after = reply.machines[-1].name
--- a/winglift/cloud/inventory.py
+++ b/winglift/cloud/inventory.py
@@ -23,7 +23,7 @@
 
 MachinePool = tuple[str, str, bool]  # type, zone, spot
 
-DELETED_NAME_KEPT_S = 600.0  # s for which the name of a deleted machine is kept
+DELETED_NAME_KEPT_S = 600.0  # s for which the names of deleted machines are kept
 
 
 class Inventory:
@@ -35,12 +35,12 @@
         self.cluster = cluster
         self.list_lag_s = list_lag_s
         self.intent_log = intent_log
-        # Rentals without an answer, by name: their machines count as booting.
+        # Unanswered rentals, by name: their machines count as booting.
         self.pending_rentals: dict[str, ExternalOperation] = {}
-        self.capacity_refusals: dict[MachinePool, float] = {}  # monotonic time until which none is requested
+        self.capacity_refusals: dict[MachinePool, float] = {}  # monotonic time until which no machine is requested
         self._refusals_in_a_row: dict[MachinePool, int] = {}  # refusals since the cloud last had capacity
         self.has_listed = False
-        self._number = 0
+        self._last_rental_number = 0
         self._tasks: set[asyncio.Task] = set()
         self._unsent: dict[MachinePool, ExternalOperation] = {}
         self._to_delete: dict[str, Machine] = {}
@@ -61,50 +61,50 @@
     # -- renting -------------------------------------------------------------------------------
 
     def rent(self, rental: Rental) -> None:
-        """Request machines. Rentals of a pool that wait for the cloud's rate are merged into one large request.
+        """Request machines. Rentals of a pool that wait for the call budget are merged into one large request.
 
-        In the first rush every cycle once queued calls of its own, of one to four machines each, for 40 s.
+        Before they were merged, each cycle in the first burst of jobs queued separate calls for one to four machines
+        each, for 40 s.
         """
         pool = (rental.type, rental.zone, rental.spot)
-        waiting = self._unsent.get(pool)
-        if waiting is not None and waiting.request is not None:
-            waiting.request = replace(
-                waiting.request, count=min(waiting.request.count + rental.count, constants.RENT_MAX)
-            )
+        unsent = self._unsent.get(pool)
+        if unsent is not None and unsent.request is not None:
+            unsent.request = replace(unsent.request, count=min(unsent.request.count + rental.count, constants.RENT_MAX))
             return
-        self._number += 1
-        # The name holds the term, which no other node ever has: a name is never reused (invariant 6).
-        name = f"t{self.cluster.term}-{self._number}"
+        self._last_rental_number += 1
+        # The name contains the term, which no other node ever has, so that no name is reused (invariant 6).
+        name = f"t{self.cluster.term}-{self._last_rental_number}"
         request = cloud_messages.Rent(
             name, rental.type, rental.zone, rental.spot, min(rental.count, constants.RENT_MAX)
         )
         self.pending_rentals[name] = self._unsent[pool] = ExternalOperation(name, monotonic_time(), request)
         if self._sender is None or self._sender.done():
-            # One sender at a time: a second one once found that the first had sent all that there was.
+            # One sender at a time: a second one once failed because the first had already sent all rentals.
             self._sender = self.spawn(self._send())
 
     async def _send(self) -> None:
-        """Send the waiting rentals, the largest first, one whenever the cloud's rate allows a call."""
+        """Send the unsent rentals, the largest first, one whenever the call budget allows it."""
         while self._unsent:
             await self.cloud.turn()
             if not self._withdraw_refused():
                 continue
             pool = max(self._unsent, key=lambda candidate: _count(self._unsent[candidate]))
-            # From here on its request stays as it is: a name stands for one request, for ever.
+            # The request does not change from here on: a name always stands for the same request.
             operation = self.intent_log.intend(self._unsent.pop(pool))
             try:
-                # Recorded under the fence before it is sent: a successor repeats the name, and rents nothing twice.
+                # Recorded under the fence before it is sent: the next leader repeats it under the same name, and rents
+                # nothing twice.
                 await self.intent_log.persist([operation])
             except FenceLost:
                 return
             self.spawn(self._rent(operation))
-            await asyncio.sleep(0)  # let the call take its turn
+            await asyncio.sleep(0)  # let the call use the budget first
 
     def _withdraw_refused(self) -> bool:
-        """Withdraw rentals of pools refused meanwhile; whether any is left. Their tasks find the next choice at once.
+        """Withdraw unsent rentals of pools refused meanwhile; return whether any rental is left.
 
-        Such requests once went out all the same, while their tasks counted on machines that never came: in the first
-        95 s of a day 95 calls were refused.
+        Tasks that waited for such machines get their next choice at once. While these requests were still sent, tasks
+        waited for machines that never came: 95 calls were refused in the first 95 s of a day.
         """
         refused = [pool for pool in self._unsent if self.capacity_refusals.get(pool, 0.0) > monotonic_time()]
         for pool in refused:
@@ -114,20 +114,20 @@
         return bool(self._unsent)
 
     def _note_refusal(self, pool: MachinePool, now: float) -> None:
-        """Note that a pool has no capacity: request again later, with exponential backoff while it is refused."""
+        """Record that a pool has no capacity: it is requested again later, with exponential backoff."""
         refusals = self._refusals_in_a_row[pool] = self._refusals_in_a_row.get(pool, 0) + 1
         self.capacity_refusals[pool] = now + min(
             constants.NO_CAPACITY_PAUSE_S * 2 ** (refusals - 1), constants.NO_CAPACITY_PAUSE_MAX_S
         )
 
     def _clear_refusal(self, machine: Machine) -> None:
-        """Forget the refusals of a machine's pool: it has capacity again, since this machine was deleted."""
+        """Clear the refusals of a deleted machine's pool: the deletion has freed capacity."""
         pool = (machine.type_name, machine.zone, machine.spot)
         self.capacity_refusals.pop(pool, None)
         self._refusals_in_a_row.pop(pool, None)
 
     async def _rent(self, operation: ExternalOperation) -> None:
-        """Carry out a rental that is recorded, until the cloud has answered it."""
+        """Send a recorded rental until the cloud answers it."""
         request = operation.request
         assert request is not None
         try:
@@ -139,7 +139,7 @@
             self.cluster.changed = True
 
     async def _request_machines(self, operation: ExternalOperation, request: cloud_messages.Rent) -> list[str] | None:
-        """Repeat a rental until it is answered: the machines' names, or None if the cloud refuses it."""
+        """Send a rental until it is answered; return the machines' names, or None if the cloud has no capacity."""
         while True:
             try:
                 operation.move(OperationEvent.SEND, monotonic_time())
@@ -156,7 +156,7 @@
                 self._note_refusal(_pool(request), monotonic_time())
                 return None
             except CloudError as err:
-                # The same name again: if it was carried out, the answer is the same and nothing more is rented.
+                # Retried under the same name: if it was executed, the answer is the same and nothing more is rented.
                 log.info("rental: request failed: name=%s error=%s", request.request, err)
                 await asyncio.sleep(constants.CLOUD_PAUSE_S)
 
@@ -196,8 +196,8 @@
                 machine.state = MachineState.BOOTING
 
     def resume_operations(self, now: float) -> None:
-        """Continue the rentals and deletions that earlier terms had begun; the intent log is loaded."""
-        for operation in [each for each in self.intent_log.deletions.values() if each.is_open]:
+        """Continue the rentals and deletions that earlier terms began. Called once the intent log is loaded."""
+        for operation in [deletion for deletion in self.intent_log.deletions.values() if deletion.is_open]:
             machine = self.cluster.register_machine(operation.name, "", "", False, now, None)
             self.delete(machine, "deletion begun by an earlier term")
         for operation in list(self.intent_log.rentals.values()):
@@ -209,7 +209,7 @@
         self.cluster.changed = True
 
     def pending_pools(self) -> list[tuple[str, str]]:
-        """Type and zone of each machine that is requested and not answered yet."""
+        """Type and zone of each machine of the unanswered rentals."""
         return [
             (operation.request.type, operation.request.zone)
             for operation in self.pending_rentals.values()
@@ -218,18 +218,18 @@
         ]
 
     def current_refusals(self, now: float) -> set[MachinePool]:
-        """The pools that the cloud has refused and that are not requested again yet."""
+        """The pools that the cloud has refused and that are not to be requested yet."""
         self.capacity_refusals = {pool: until for pool, until in self.capacity_refusals.items() if until > now}
         return set(self.capacity_refusals)
 
     # -- deleting ------------------------------------------------------------------------------
 
     def delete(self, machine: Machine, reason: str) -> None:
-        """Delete a machine: nothing is placed there from now on, whether the call succeeds or not."""
+        """Delete a machine. Nothing is placed on it from now on, whether the call succeeds or not."""
         if machine.state is MachineState.DELETING or machine.name in self._to_delete:
             return
         operation = self.intent_log.intend(ExternalOperation(machine.name, monotonic_time()))
-        # Deletions begun by an earlier term are logged in one line by the failover: most machines are gone already.
+        # The failover logs deletions begun by an earlier term in one line: most of these machines are gone already.
         log.log(
             logging.DEBUG if operation.inherited and not machine.tasks else logging.INFO,
             "machine: deletion decided: machine=%s zone=%s reason=%s tasks=%d",
@@ -238,8 +238,8 @@
             reason,
             len(machine.tasks),
         )
-        # From here on nothing is placed there, by this term or by a later one (invariant 2): once its deletion may
-        # have been sent, it may be carried out minutes from now.
+        # From here on neither this term nor a later one places anything on it (invariant 2): once its deletion may have
+        # been sent, it may be executed minutes later.
         machine.move(MachineEvent.DELETE)
         self._to_delete[machine.name] = machine
         if len(self._to_delete) == 1:
@@ -247,16 +247,16 @@
 
     async def _delete(self) -> None:
         while self._to_delete:
-            # A machine that holds a cancelled task goes first, in a request without others: a leader in doubt may still
-            # delete it.
-            urgent = [name for name, machine in self._to_delete.items() if holds_cancelled(machine)]
+            # Machines that hold cancelled tasks go first, in a request of their own: a leader whose lease is in doubt
+            # may still delete them.
+            urgent = [name for name, machine in self._to_delete.items() if holds_cancelled_task(machine)]
             batch = {name: self._to_delete[name] for name in (urgent or list(self._to_delete))[: constants.DELETE_MAX]}
             operations = [self.intent_log.deletions[name] for name in batch]
             try:
                 async with asyncio.timeout(constants.DELETE_RECORD_S):
                     await self.intent_log.persist(operations)
             except TimeoutError:
-                # What a committed cancellation demands is recorded in the job: it is sent without the intent log.
+                # A deletion that a committed cancellation requires is recorded in the job: it needs no intent log.
                 if not urgent:
                     continue
             except FenceLost:
@@ -266,8 +266,7 @@
             try:
                 await self.cloud.delete(list(batch), for_cancellation=bool(urgent))
             except CloudError as err:
-                # A deletion without an answer may have been carried out: the machines stay out of use, and it is
-                # repeated.
+                # A deletion without an answer may have been executed: the machines stay out of use, and it is retried.
                 log.info("deletion: request failed: error=%s", err)
                 await asyncio.sleep(constants.CLOUD_PAUSE_S)
                 continue
@@ -288,37 +287,37 @@
         """Reconcile with the cloud's list every LIST_EVERY_S."""
         while True:
             try:
-                asked = monotonic_time()
+                requested_at = monotonic_time()
                 listed = await self.cloud.list()
-                self.reconcile(listed, monotonic_time(), asked)
+                self.reconcile(listed, monotonic_time(), requested_at)
                 self.has_listed = True
             except CloudError as err:
                 log.info("machine list: request failed: error=%s", err)
             await asyncio.sleep(constants.LIST_EVERY_S)
 
-    def reconcile(self, listed: list[cloud_messages.Listed], now: float, asked: float) -> None:
-        """Reconcile with a list requested at the monotonic time `asked`; it describes up to twice its lag earlier."""
-        self._delete_unlisted({entry.name for entry in listed}, asked)
+    def reconcile(self, listed: list[cloud_messages.Listed], now: float, requested_at: float) -> None:
+        """Reconcile with a list requested at `requested_at` (monotonic), which may be older by twice the list lag."""
+        self._delete_unlisted({entry.name for entry in listed}, requested_at)
         for entry in listed:
             if entry.name not in self.cluster.deleted_machines:
                 self._reconcile_entry(entry, now)
-        # A name that was deleted long ago can't appear in a list any more.
+        # Names deleted long ago can no longer appear in a list.
         horizon = now - DELETED_NAME_KEPT_S
         for name in [name for name, at in self.cluster.deleted_machines.items() if at < horizon]:
             del self.cluster.deleted_machines[name]
 
-    def _delete_unlisted(self, listed_names: set[str], asked: float) -> None:
-        """Delete booting machines that the list must have shown if they still existed."""
-        oldest = asked - 2 * self.list_lag_s - constants.INTENT_LOG_KEEP_MARGIN_S
+    def _delete_unlisted(self, listed_names: set[str], requested_at: float) -> None:
+        """Delete booting machines that would be listed if they still existed."""
+        rented_before = requested_at - 2 * self.list_lag_s - constants.INTENT_LOG_KEEP_MARGIN_S
         for machine in list(self.cluster.machines.values()):
             if (
                 machine.name not in listed_names
                 and machine.state is MachineState.BOOTING
                 and not machine.tasks
-                and machine.rented_at < oldest
+                and machine.rented_at < rented_before
             ):
-                # It must have been listed, and would be still: it was reclaimed before it came up.
-                self.delete(machine, "not listed any more")
+                # It was rented so long ago that it must be listed if it exists: it was reclaimed while booting.
+                self.delete(machine, "no longer listed")
 
     def _reconcile_entry(self, entry: cloud_messages.Listed, now: float) -> None:
         known = entry.name in self.cluster.machines
@@ -333,7 +332,7 @@
         if entry.addr and not machine.addr:
             machine.addr = entry.addr
         if entry.state == "failed":
-            self.delete(machine, "failed on its own")
+            self.delete(machine, "failed according to the cloud")
 
 
 def _count(operation: ExternalOperation) -> int:
@@ -353,6 +352,6 @@
     operation.move(OperationEvent.SEND if recorded else OperationEvent.SEND_UNRECORDED, monotonic_time())
 
 
-def holds_cancelled(machine: Machine) -> bool:
+def holds_cancelled_task(machine: Machine) -> bool:
     """Whether the machine holds a task of a cancelled job."""
     return any(task.job.state is JobState.CANCELLED for task in machine.tasks.values())
--- a/winglift/config/script.py
+++ b/winglift/config/script.py
@@ -2,8 +2,8 @@
 
 The script returns a table. Numbers in it replace the defaults in NUMBERS; functions are hooks, called by the leader's
 scheduling cycle. Each call is limited in Lua instructions, the whole script in memory. A script that can't be loaded
-ends the program at start with file and line; a hook that later fails or runs too long is disabled and logged once, and
-its default applies.
+ends the program at start with an error that names file and line. A hook that later fails or runs too long is disabled
+and logged once, and its default applies.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
     "reserve": "reserve(class, proposed) -> number of tasks to keep room for",
     "estimate_s": "estimate_s(class, owner_estimate, proposed) -> seconds",
 }
-# The Lua globals that remain: none that gives access to files, processes, other code or the host.
-ALLOWED = {
+# The Lua globals that a script may use: none gives access to files, processes, other code or the host.
+ALLOWED_GLOBALS = {
     "assert",
     "error",
     "ipairs",
@@ -46,13 +46,13 @@
     "type",
     "_VERSION",
 }
-# pcall would let a script catch the error of its own exceeded budget; string.rep, removed below, builds huge texts in
-# one instruction.
-FORBIDDEN = {"pcall"}
+# pcall would let a script catch the error that stops it at the instruction limit. string.rep, removed below, builds
+# huge strings in one instruction.
+FORBIDDEN_GLOBALS = {"pcall"}
 
 
 class ScriptError(ConfigurationError):
-    """The script can't be used; the text names file and line."""
+    """The script can't be used; the message names file and line."""
 
 
 def _is_finite_number(value: Any) -> bool:
@@ -67,7 +67,7 @@
         default_factory=lambda: {name: default for name, (default, _, _) in NUMBERS.items()}
     )
     hooks: dict[str, Any] = field(default_factory=dict)
-    _limited: Any = None
+    _call_limited: Any = None
 
     def number(self, name: str) -> float:
         """The value of a setting: the script's, or its default."""
@@ -82,8 +82,8 @@
         if hook is None:
             return default
         try:
-            succeeded, value = self._limited(hook, *args)
-        # Also MemoryError and errors of lupa: a script must never end the scheduling cycle.
+            succeeded, value = self._call_limited(hook, *args)
+        # Includes MemoryError and errors of lupa: a script must never stop the scheduling cycle.
         except Exception as err:  # noqa: BLE001
             succeeded, value = False, str(err)
         if succeeded and _is_finite_number(value) and 0 <= value <= constants.MAX_AMOUNT:
@@ -107,7 +107,7 @@
 
 def parse(source: str, path: str) -> Script:
     """Evaluate a script's source; `path` is named in errors. Raises ScriptError."""
-    # Imported only here: nodes without a script need neither its memory nor its start-up time.
+    # Imported here to spare nodes without a script its memory and start-up time.
     from lupa import lua54
 
     lua = lua54.LuaRuntime(
@@ -118,8 +118,8 @@
         attribute_filter=_no_attributes,
     )
     try:
-        # Built while `debug` is still available: calls a function with a limit on its instructions.
-        limited = lua.execute(f"""
+        # Calls a function with a limit on its instructions. Created while `debug` is still available.
+        call_limited = lua.execute(f"""
             local sethook, pcall, error = debug.sethook, pcall, error
             return function(f, ...)
                 sethook(function() error("ran longer than {constants.SCRIPT_INSTRUCTIONS} instructions", 0) end,
@@ -128,27 +128,27 @@
                 sethook()
                 return good, value
             end""")
-        compiled = lua.eval("function(source, name) return load(source, name, 't') end")
-        chunk = compiled(source, "@" + path)
+        load_chunk = lua.eval("function(source, name) return load(source, name, 't') end")
+        chunk = load_chunk(source, "@" + path)
         if isinstance(chunk, tuple):
             raise ScriptError(str(chunk[1]))
         lua_globals = lua.globals()
         for name in list(lua_globals.keys()):
-            if name not in ALLOWED - FORBIDDEN:
+            if name not in ALLOWED_GLOBALS - FORBIDDEN_GLOBALS:
                 lua_globals[name] = None
         lua_globals["string"]["rep"] = None
-        succeeded, table = limited(chunk)
+        succeeded, table = call_limited(chunk)
     except lua54.LuaError as err:
         raise ScriptError(f"{path}: {err}") from None
     if not succeeded:
         raise ScriptError(str(table))
     if lua54.lua_type(table) != "table":
         raise ScriptError(f"{path}: expected the script to return a table")
-    return _script_from_table(table, path, limited, lua54.lua_type)
+    return _script_from_table(table, path, call_limited, lua54.lua_type)
 
 
-def _script_from_table(table: Any, path: str, limited: Any, lua_type: Any) -> Script:
-    script = Script(_limited=limited)
+def _script_from_table(table: Any, path: str, call_limited: Any, lua_type: Any) -> Script:
+    script = Script(_call_limited=call_limited)
     for name, value in table.items():
         if name in NUMBERS:
             _, minimum, maximum = NUMBERS[name]
@@ -165,4 +165,4 @@
 
 
 def _no_attributes(obj: Any, name: Any, is_setting: bool) -> Any:
-    raise AttributeError("the script reaches no attributes of the host")
+    raise AttributeError("scripts can't access attributes of host objects")
--- a/winglift/config/settings.py
+++ b/winglift/config/settings.py
@@ -15,7 +15,7 @@
 
 
 class SettingsError(ConfigurationError):
-    """The settings file is invalid; the text is one line with the field's path and what was expected."""
+    """The settings file is invalid; the message is one line with the field's path and the expected value."""
 
 
 class Seed(msgspec.Struct, frozen=True):
@@ -121,10 +121,12 @@
     return match[1], int(match[2])
 
 
-def _positive(value: Any, path: str, zero: bool = False) -> None:
-    """Check that a number is finite and above 0, or with `zero` at least 0."""
-    if not math.isfinite(value) or value < 0 or (value == 0 and not zero):
-        raise SettingsError(f"{path}: expected a finite number {'of at least' if zero else 'above'} 0, got {value}")
+def _check_positive(value: Any, path: str, allow_zero: bool = False) -> None:
+    """Check that a number is finite and above 0; with `allow_zero`, at least 0."""
+    if not math.isfinite(value) or value < 0 or (value == 0 and not allow_zero):
+        raise SettingsError(
+            f"{path}: expected a finite number {'of at least' if allow_zero else 'above'} 0, got {value}"
+        )
 
 
 def parse(text: str) -> Settings:
@@ -144,19 +146,19 @@
     for index, seed in enumerate(settings.seeds):
         parse_addr(seed.addr, f"seeds[{index}].addr")
     params = settings.settings
-    _positive(params.nodes, "settings.nodes")
-    _positive(params.skew_ms, "settings.skew_ms", zero=True)
+    _check_positive(params.nodes, "settings.nodes")
+    _check_positive(params.skew_ms, "settings.skew_ms", allow_zero=True)
     if not params.zones:
         raise SettingsError("settings.zones: expected at least one zone")
     for group in ("workers", "state", "cloud", "machine_limits"):
         section = getattr(params, group)
         for field in section.__struct_fields__:
-            _positive(getattr(section, field), f"settings.{group}.{field}", zero=field == "list_lag_s")
+            _check_positive(getattr(section, field), f"settings.{group}.{field}", allow_zero=field == "list_lag_s")
     for index, team in enumerate(params.teams):
         for field in ("cpus", "cpus_max", "gpus", "gpus_max"):
-            _positive(getattr(team, field), f"settings.teams[{index}].{field}", zero=True)
+            _check_positive(getattr(team, field), f"settings.teams[{index}].{field}", allow_zero=True)
     if len({team.name for team in params.teams}) != len(params.teams):
-        raise SettingsError("settings.teams: expected names that differ")
+        raise SettingsError("settings.teams: expected unique names")
     return settings
 
 
--- a/winglift/workers/cancellation_enforcement.py
+++ b/winglift/workers/cancellation_enforcement.py
@@ -1,9 +1,10 @@
-"""Enforces confirmed cancellations, on every node that knows of them, until their tasks are proven off.
+"""Enforces confirmed cancellations, on every node that knows of them, until their tasks are proven to have ended.
 
-The node that confirms a cancellation is responsible for it. It announces the cancellation to all nodes; each node, the
-leader or not, answers reports that list a task of it with a stop. While no leader that can act has taken it over, each
-node also sends stops to the machines that have reported to it, and deletes in good time those that no node has proven
-free (docs/recovery.md, "Cancellations and who answers for them").
+The node that confirms a cancellation is responsible for it. It announces the cancellation to all nodes. Each node,
+leader or not, answers a report that lists a task of the cancelled job with a stop command. Until a leader that is
+entitled to act has taken the cancellation over, each node also sends stop commands to the machines that have reported
+to it, and deletes before the deadline the machines that no node has proven free of the job's tasks (docs/recovery.md,
+"Cancellations and who answers for them").
 """
 
 from __future__ import annotations
@@ -25,13 +26,13 @@
 from ..store.client import Health, OutcomeUnknown, RequestRejected, StateClient
 from ..wire import peer as peer_messages
 from ..wire import workers as worker_messages
-from .commands import command
+from .commands import send_direct_commands
 
 log = logging.getLogger(__name__)
 
 
 class CancellationHost(Protocol):
-    """What enforcing cancellations needs of the node."""
+    """The part of a node that cancellation enforcement uses."""
 
     @property
     def settings(self) -> Settings:
@@ -53,16 +54,16 @@
         """The highest term that this node knows of."""
 
     def leader_by_record(self) -> str:
-        """The leader by the state service's record, as this node has last read it; empty: none."""
+        """The leader named in the state service's record, as this node last read it; empty if there is none."""
 
     def handles_cancellation(self, ref: str) -> bool:
-        """Whether this node leads, can act, and has the cancellation in its cluster state."""
+        """Whether this node leads, is entitled to act, and has the cancellation in its cluster state."""
 
     def has_cleared_job(self, ref: str) -> bool:
-        """Whether this node, as a leader that can act, has proven all tasks of the job off."""
+        """Whether this node, as a leader that is entitled to act, has proof that all tasks of the job have ended."""
 
     def on_machines_deleted(self, machines: list[str]) -> None:
-        """Note that these machines have been deleted without the leader."""
+        """Handle the deletion of these machines by a node that may not lead."""
 
 
 @dataclass(slots=True)
@@ -76,7 +77,10 @@
 
 
 class CancellationEnforcer:
-    """Enforces the cancellations that this node knows of, as a leader or not (invariant 8)."""
+    """Enforces the cancellations that this node knows of, whether it leads or not.
+
+    This keeps invariant 8: a confirmed cancellation is enforced whichever node leads.
+    """
 
     def __init__(self, node: CancellationHost) -> None:
         """Start with no cancellation known; `run` does the periodic work."""
@@ -87,37 +91,37 @@
             params.skew_ms / 1000, cancel_s, int(params.state.write_rps * cancel_s * constants.CANCELLATION_KEPT_SHARE)
         )
         self.contacts: dict[str, MachineContact] = {}
-        self._commanding: dict[str, asyncio.Task] = {}
-        self._deleting: asyncio.Task | None = None
-        self._listing: asyncio.Task | None = None
-        self._next_list = 0.0
-        self._wake = asyncio.Event()
-        self._next_sweep = 0.0
-        self._next_read = 0.0
+        self._stops_in_flight: dict[str, asyncio.Task] = {}
+        self._delete_task: asyncio.Task | None = None
+        self._list_task: asyncio.Task | None = None
+        self._next_list_at = 0.0
+        self._cancellation_added = asyncio.Event()
+        self._next_contact_sweep_at = 0.0
+        self._next_reread_at = 0.0
 
-    # -- what arrives --------------------------------------------------------------------------
+    # -- events --------------------------------------------------------------------------------
 
     def add_record(self, ref: str, version: int, record: records.JobRecord) -> bool:
-        """Take in a committed record; True: it is a cancellation that this node now enforces.
+        """Process a committed record and return whether it is a cancellation that this node now enforces.
 
-        A cancellation of tasks that are assigned to machines is announced to the other nodes at once, and to the user
-        after that.
+        If the cancelled job has tasks assigned to machines, the cancellation is announced to the other nodes at once,
+        and confirmed to the user only after that.
         """
         now = monotonic_time()
         cancellation = self.cancellations.add_record(ref, version, record, now)
         if cancellation is None or cancellation.state is CancellationState.CONFIRMED:
             return cancellation is not None
         self._announce(cancellation, now)
-        self._wake.set()
+        self._cancellation_added.set()
         return True
 
     def on_peer_connected(self, node: str) -> None:
-        """Announce all cancellations to this node again: it may be another process than the one that knew them."""
+        """Announce all cancellations to this node again: it may have restarted since it was last notified."""
         for cancellation in self.cancellations.by_job.values():
             cancellation.notified.pop(node, None)
 
     def on_proofs(self, proofs: list[tuple[str, str]]) -> None:
-        """Take in proofs of another node: job and machine, or no job if the machine is deleted."""
+        """Apply another node's proofs, each a job and a machine; the job is empty if the machine is deleted."""
         now = monotonic_time()
         for ref, machine in proofs:
             if ref:
@@ -129,14 +133,14 @@
             self.node.on_machines_deleted(deleted)
 
     def on_report(self, report: worker_messages.Report) -> list[worker_messages.Command]:
-        """The stops that the answer to this report must carry, whichever node gives it."""
+        """Return the stop commands that the answer to this report must carry, whichever node answers it."""
         now = monotonic_time()
         contact = self.contacts.get(report.machine)
         if contact is None or contact.session <= report.session:
             commanded_at = contact.commanded_at if contact is not None else -math.inf
             self.contacts[report.machine] = MachineContact(report.addr, report.session, now, commanded_at)
-        if now >= self._next_sweep:
-            self._next_sweep = now + constants.CONTACT_KEPT_S / 4
+        if now >= self._next_contact_sweep_at:
+            self._next_contact_sweep_at = now + constants.CONTACT_KEPT_S / 4
             self.contacts = {
                 name: contact
                 for name, contact in self.contacts.items()
@@ -150,23 +154,23 @@
         """Check the cancellations every CANCELLATION_CHECK_S, for as long as this node runs."""
         while True:
             if not self.cancellations.by_job:
-                self._wake.clear()
-                await self._wake.wait()
+                self._cancellation_added.clear()
+                await self._cancellation_added.wait()
             try:
-                await self._check(monotonic_time(), wall_time())
+                await self._enforce(monotonic_time(), wall_time())
             except Exception:
-                # One cancellation that can't be enforced must not keep the others waiting.
+                # An error with one cancellation must not keep the others from being enforced.
                 log.exception("cancellations: fault in enforcing them")
             await asyncio.sleep(constants.CANCELLATION_CHECK_S)
 
-    async def _check(self, now: float, wall: float) -> None:
+    async def _enforce(self, now: float, wall: float) -> None:
         for cancellation in list(self.cancellations.by_job.values()):
             if cancellation.state is not CancellationState.CONFIRMED:
                 self._announce_or_clear(cancellation, now)
         self._send_stops(now)
         machines = self._machines_to_delete(now, wall)
-        if machines and (self._deleting is None or self._deleting.done()):
-            self._deleting = asyncio.ensure_future(self._delete(machines[: constants.DELETE_MAX]))
+        if machines and (self._delete_task is None or self._delete_task.done()):
+            self._delete_task = asyncio.ensure_future(self._delete(machines[: constants.DELETE_MAX]))
         proofs, self.cancellations.unsent_proofs = self.cancellations.unsent_proofs, []
         self.node.peers.announce_proofs(proofs)
         self.cancellations.prune(now)
@@ -184,10 +188,10 @@
     def _announce(self, cancellation: Cancellation, now: float) -> None:
         leader = self.node.peers.leader(now)
         for name, peer in self.node.peers.by_node.items():
-            # A node that knew of the cancellation before it led has yet to take it over.
+            # A node that was notified before it became the leader has not taken the cancellation over yet.
             leader_has_to_take_over = (
                 peer is leader
-                and cancellation.delegated_to != _leadership(peer)
+                and cancellation.delegated_to != _leader_and_term(peer)
                 and cancellation.notified.get(name) == math.inf
             )
             if leader_has_to_take_over or cancellation.notified.get(name, -math.inf) <= now:
@@ -202,29 +206,31 @@
         if answer is None:
             return
         if answer[0] == 200:
-            cancellation.delegated_to = _leadership(peer)
-        # A leader that can't act yet is notified again; any other node knows it for as long as its process lasts.
+            cancellation.delegated_to = _leader_and_term(peer)
+        # A leader that is not entitled to act yet is notified again. Any other node keeps the cancellation for as long
+        # as its process runs.
         if answer[0] == 200 or peer is not self.node.peers.leader(monotonic_time()):
             cancellation.notified[peer.seed.node] = math.inf
 
     def _is_delegated(self, cancellation: Cancellation, now: float) -> bool:
-        """Whether a leader enforces it: one in reach that has taken it over, or one that the state service names.
+        """Whether a leader enforces it: a reachable one that has taken it over, or one that the state service names.
 
-        The latter follows the records; in an outage of the state service no node can know of it.
+        The latter learns of the cancellation by watching the job records. It counts only while the state service is
+        available: during an outage no node can know whether that leader still leads.
         """
         if self.node.handles_cancellation(cancellation.ref):
             return True
         leader = self.node.peers.leader(now)
-        if leader is not None and cancellation.delegated_to == _leadership(leader):
+        if leader is not None and cancellation.delegated_to == _leader_and_term(leader):
             return True
         recorded_leader = self.node.leader_by_record()
         return self.node.state.health() is Health.GOOD and recorded_leader not in ("", self.node.settings.node)
 
     def _send_stops(self, now: float) -> None:
-        """Send stops to the machines of outstanding cancellations.
+        """Send stop commands to the machines of outstanding cancellations.
 
-        A machine is sent them at once and, from the time when its answer counts as a proof, every CANCELLATION_PROBE_S
-        until it is one.
+        A machine gets them at once. Once an answer can count as a proof, it gets them again every
+        CANCELLATION_PROBE_S until its answer is one.
         """
         for cancellation in self.cancellations.outstanding():
             settled = cancellation.min_age_s(now) >= self.cancellations.settle_s
@@ -232,30 +238,30 @@
                 contact = self.contacts.get(machine)
                 if contact is None:
                     self._fetch_addresses(now)
-                elif machine not in self._commanding and (
+                elif machine not in self._stops_in_flight and (
                     contact.commanded_at < cancellation.state_since
                     or (settled and now - contact.commanded_at > constants.CANCELLATION_PROBE_S)
                 ):
-                    if len(self._commanding) >= constants.PROBES_AT_ONCE:
+                    if len(self._stops_in_flight) >= constants.PROBES_AT_ONCE:
                         return
                     contact.commanded_at = now
-                    self._commanding[machine] = asyncio.ensure_future(self._stop_tasks(machine, contact))
+                    self._stops_in_flight[machine] = asyncio.ensure_future(self._stop_tasks(machine, contact))
 
     def _fetch_addresses(self, now: float) -> None:
-        """Ask the cloud for the addresses of machines that report to another node, perhaps one out of reach.
+        """Request the addresses of machines that report to another node, possibly an unreachable one, from the cloud.
 
-        Without them these machines were deleted, with all the other work on them.
+        A machine without a known address can't be sent stop commands: it would be deleted, with all other tasks on it.
         """
-        if now < self._next_list or (self._listing is not None and not self._listing.done()):
+        if now < self._next_list_at or (self._list_task is not None and not self._list_task.done()):
             return
-        self._next_list = now + constants.CANCELLATION_LIST_S
-        self._listing = asyncio.ensure_future(self._list())
+        self._next_list_at = now + constants.CANCELLATION_LIST_S
+        self._list_task = asyncio.ensure_future(self._list_addresses())
 
-    async def _list(self) -> None:
+    async def _list_addresses(self) -> None:
         try:
             for entry in await self.node.cloud.list():
                 if entry.addr:
-                    # Its session is not known: the refusal of the first command carries it.
+                    # Its session is unknown here: the worker rejects the first command with a report that holds it.
                     self.contacts.setdefault(entry.name, MachineContact(entry.addr, 0, monotonic_time()))
         except CloudError as err:
             log.info("machine addresses: list request failed: error=%s", err)
@@ -267,17 +273,18 @@
                 for cancellation in self.cancellations.on_machine(machine)
                 for stop in cancellation.stop_commands[machine]
             ]
-            # Its last report may be of an earlier session, or it knows a higher term: it is commanded once more then.
-            remaining, report = await self._command_stops(
+            # The worker rejects commands with an outdated session or term: they are sent once more, with those of its
+            # answer.
+            remaining, report = await self._send_stop_commands(
                 machine, contact.addr, self.node.known_term(), contact.session, stop_commands
             )
             if remaining and report is not None:
                 term = max(self.node.known_term(), report.token)
-                await self._command_stops(machine, contact.addr, term, report.session, remaining)
+                await self._send_stop_commands(machine, contact.addr, term, report.session, remaining)
         finally:
-            self._commanding.pop(machine, None)
+            self._stops_in_flight.pop(machine, None)
 
-    async def _command_stops(
+    async def _send_stop_commands(
         self,
         machine: str,
         addr: str,
@@ -285,9 +292,9 @@
         session: int,
         stop_commands: list[worker_messages.Command],
     ) -> tuple[list[worker_messages.Command], worker_messages.Report | None]:
-        """Send stops: those whose tasks the machine lists even then, and its report; None: no valid answer."""
+        """Send stop commands; return those whose tasks the answer still lists, and the answer (None: no valid one)."""
         sent_at = monotonic_time()
-        report = await command(addr, term, session, stop_commands)
+        report = await send_direct_commands(addr, term, session, stop_commands)
         if report is None or report.machine != machine:
             return [], None
         return self.cancellations.on_probe_answer(report, sent_at, monotonic_time()), report
@@ -300,7 +307,7 @@
         )
 
     def may_delete(self, names: list[str]) -> bool:
-        """Whether these machines are all still to be deleted; the last check before the request is sent."""
+        """Whether all these machines are still to be deleted; the last check before the request is sent."""
         return set(names) <= set(self._machines_to_delete(monotonic_time(), wall_time()))
 
     async def _delete(self, names: list[str]) -> None:
@@ -310,7 +317,7 @@
         try:
             await self.node.cloud.delete_for_cancellation(names)
         except CloudError as err:
-            # A deletion without an answer may have been carried out, and is no proof: it is tried again.
+            # A deletion without an answer may have been executed, but that is no proof: it is retried.
             log.info("deletion: request failed: error=%s", err)
             await asyncio.sleep(constants.CLOUD_PAUSE_S)
             return
@@ -320,8 +327,8 @@
         self.node.on_machines_deleted(names)
 
     async def _reread(self, now: float, wall: float) -> None:
-        """Read the record of a cancellation that a leader has had for long: it removes from it what it has proven."""
-        if now < self._next_read or self.node.state.health() is not Health.GOOD:
+        """Reread the record of a cancellation delegated long ago: the leader removes proven assignments from it."""
+        if now < self._next_reread_at or self.node.state.health() is not Health.GOOD:
             return
         after_s = self.cancellations.cancel_s * constants.CANCELLATION_REREAD_SHARE
         cancellation = next(
@@ -335,7 +342,7 @@
         )
         if cancellation is None:
             return
-        self._next_read = now + constants.CANCELLATION_REREAD_S
+        self._next_reread_at = now + constants.CANCELLATION_REREAD_S
         try:
             item = await self.node.state.get(records.JOB_PREFIX + cancellation.ref)
             if item is not None:
@@ -346,5 +353,5 @@
             log.debug("cancellation: record not read: job=%s error=%s", cancellation.ref, err)
 
 
-def _leadership(peer: Peer) -> tuple[str, int]:
+def _leader_and_term(peer: Peer) -> tuple[str, int]:
     return peer.seed.node, peer.last_state.term if peer.last_state is not None else 0
--- a/winglift/workers/commands.py
+++ b/winglift/workers/commands.py
@@ -1,6 +1,6 @@
-"""Direct commands to workers (PROTOCOL, "POST /commands"): stops only.
+"""Direct commands to workers (PROTOCOL, "POST /commands"), used for stops only.
 
-Starts are never sent this way, since direct commands may be executed late.
+Starts are never sent this way, since a direct command may be executed late.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 log = logging.getLogger(__name__)
 
 
-async def command(
+async def send_direct_commands(
     addr: str, term: int, session: int, commands: list[worker_messages.Command]
 ) -> worker_messages.Report | None:
-    """Send stops to a worker's address and return the report that it answers with.
+    """Send stop commands to a worker's address and return the report that it answers with.
 
-    The worker answers with a report whether it executed the commands (200) or not (409). None: there was no valid
-    answer within COMMAND_TIMEOUT_S.
+    The worker answers with a report both if it has executed the commands (200) and if it has rejected them (409). None
+    is returned if there was no valid answer within COMMAND_TIMEOUT_S.
     """
     host, _, port = addr.partition(":")
     body = msgspec.json.encode(worker_messages.DirectCommands(term, session, commands))
@@ -49,7 +49,7 @@
 
 
 class TaskStopper:
-    """Sends stops to workers at once; what gets lost is repeated by the response to the next report."""
+    """Sends stop commands to workers at once; a lost one is repeated in the answer to the worker's next report."""
 
     def __init__(
         self,
@@ -57,34 +57,34 @@
         leadership: Leadership,
         may_only_enforce_cancellations: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Take over the cluster state's `on_stop`.
+        """Register as the `on_stop` callback of the cluster state.
 
         `may_only_enforce_cancellations`: whether a leader in doubt may still stop the tasks of cancelled jobs.
         """
         self.cluster = cluster
         self.leadership = leadership
         self._may_only_enforce_cancellations = may_only_enforce_cancellations
-        self._queue: dict[str, list[Task]] = {}
-        self._tasks: set[asyncio.Task] = set()
+        self._queued_tasks: dict[str, list[Task]] = {}
+        self._send_tasks: set[asyncio.Task] = set()
         cluster.on_stop = self.add
 
     def add(self, task: Task) -> None:
-        """Queue a task to be stopped; all that is queued for a machine within a cycle goes in one command."""
-        queue = self._queue.setdefault(task.machine.name, [])
-        queue.append(task)
-        if len(queue) == 1:
+        """Queue a task to be stopped; all tasks queued for a machine within a cycle are stopped by one request."""
+        queued = self._queued_tasks.setdefault(task.machine.name, [])
+        queued.append(task)
+        if len(queued) == 1:
             sender = asyncio.ensure_future(self._send(task.machine))
-            self._tasks.add(sender)
-            sender.add_done_callback(self._tasks.discard)
+            self._send_tasks.add(sender)
+            sender.add_done_callback(self._send_tasks.discard)
 
     def stop(self) -> None:
-        """Cancel all commands under way."""
-        for task in self._tasks:
+        """Cancel all commands in flight."""
+        for task in self._send_tasks:
             task.cancel()
 
     async def _send(self, machine: Machine) -> None:
-        await asyncio.sleep(0)  # collect what is stopped in the same cycle
-        tasks = self._queue.pop(machine.name, [])
+        await asyncio.sleep(0)  # let the same cycle queue further tasks
+        tasks = self._queued_tasks.pop(machine.name, [])
         if not machine.addr or not machine.session:
             return
         if not self.leadership.entitled(monotonic_time()):
@@ -99,6 +99,6 @@
         ]
         if not commands:
             return
-        report = await command(machine.addr, self.cluster.term, machine.session, commands)
+        report = await send_direct_commands(machine.addr, self.cluster.term, machine.session, commands)
         if report is not None:
             reconcile_report(self.cluster, report, monotonic_time(), direct=True)
--- a/winglift/workers/partition_detector.py
+++ b/winglift/workers/partition_detector.py
@@ -1,14 +1,14 @@
-"""Detects that this node receives reports of workers but can forward them to no leader.
+"""Detects that this node receives reports of workers but can't forward them to a leader.
 
 That is the case when this node reaches neither the state service nor any other node, or when the state service names a
-leader that this node does not reach.
-
-The node may be partitioned together with its zone; then its answers keep the zone's workers alive, and no other node
-could. Or the workers could reach the other nodes, and its answers keep them from it: the next leader then gets no
-report of them for as long as that lasts. Only the workers can find out, so a few are redirected as scouts. A scout that
-is back within the time that trying all nodes takes found no other node; if all stay away, the other workers follow. No
-worker is redirected that was not served just before, so that its lease outlives the way, also between two nodes in the
-same situation.
+leader that this node can't reach.
+
+If the whole zone is partitioned, this node's answers keep the zone's workers alive, and no other node could do so. If
+only this node is partitioned, its answers keep workers from switching to other nodes, and the next leader gets no
+report of them for as long as that lasts. Only the workers can tell the two cases apart, so a few of them, the scouts,
+are redirected. A scout that reports here again within the time that it takes to try all nodes has found no other node.
+If no scout comes back, the other workers are redirected too. A worker is redirected only if it was served just before,
+so that its lease outlasts the search, also if it is redirected back and forth between two partitioned nodes.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 
 log = logging.getLogger(__name__)
 
-ReportOrder = tuple[int, int]  # session and number of a report
+ReportSequence = tuple[int, int]  # session and sequence number of a report
 
 
 class PartitionState(Enum):
     """What this node does with the workers that report to it."""
 
-    CONNECTED = auto()  # a leader gets the reports that come here, or there is no leader
+    CONNECTED = auto()  # a leader gets the reports received here, or there is no leader
     ISOLATED = auto()  # no leader gets them: all workers are served
     SCOUTING = auto()  # a few workers were redirected as scouts
-    PARTITIONED = auto()  # a scout is back: the zone is partitioned too, and all workers are served
-    REDIRECTING = auto()  # all scouts stayed away: only this node is partitioned, and all workers are redirected
+    PARTITIONED = auto()  # a scout came back: the whole zone is partitioned, and all workers are served
+    REDIRECTING = auto()  # no scout came back: only this node is partitioned, and all workers are redirected
 
 
 class PartitionEvent(Enum):
-    """What moves the detector from one state to another."""
+    """Events that change the state of the detector."""
 
     CONTACT_GAINED = auto()
     CONTACT_LOST = auto()
@@ -66,16 +66,16 @@
         """`nodes`: number of other nodes; `lease_s` and `report_s`: the workers' lease and report interval."""
         self.state = PartitionState.CONNECTED
         self.since = 0.0
-        # Within this time a worker that has tried all other nodes in vain is back.
-        self._round_s = nodes * constants.WORKER_TRY_S + constants.REPORT_LATEST * report_s + 1.0
+        # A worker that tries all other nodes without success reports here again within this time.
+        self._node_round_s = nodes * constants.WORKER_TRY_S + constants.REPORT_LATEST * report_s + 1.0
         self._lease_s = lease_s
         self._report_s = report_s
         self._nodes = nodes
-        self._served: dict[str, float] = {}  # worker: when it was last answered with 200
-        self._scouts: dict[str, ReportOrder] = {}  # redirected worker: its report answered with that
+        self._served: dict[str, float] = {}  # worker: time of the last answer with 200
+        self._scouts: dict[str, ReportSequence] = {}  # redirected worker: the report that the redirect answered
 
     def move(self, event: PartitionEvent, now: float) -> PartitionState:
-        """Apply an event and return the state after it. This is the one place where the state changes."""
+        """Apply an event and return the resulting state. The state changes nowhere else."""
         new_state = TRANSITIONS.get((self.state, event), self.state)
         if new_state is not self.state:
             if new_state is not PartitionState.ISOLATED:
@@ -87,27 +87,27 @@
         return self.state
 
     def update(self, in_contact: bool, now: float) -> None:
-        """To be called before each report; `in_contact`: a leader gets, or could get, the reports that come here."""
+        """Update the state before each report; `in_contact`: a leader gets, or could get, the reports received here."""
         if in_contact or not self._nodes:
             self.move(PartitionEvent.CONTACT_GAINED, now)
             return
         self.move(PartitionEvent.CONTACT_LOST, now)
-        if self.state is PartitionState.SCOUTING and now - self.since > self._round_s:
+        if self.state is PartitionState.SCOUTING and now - self.since > self._node_round_s:
             self.move(PartitionEvent.NONE_BACK, now)
         elif self.state is PartitionState.PARTITIONED and now - self.since > constants.PARTITION_SCOUT_INTERVAL_S:
             self.move(PartitionEvent.SCOUT_AGAIN, now)
 
-    def redirects(self, worker: str, order: ReportOrder, idle: bool, has_newer_token: bool, now: float) -> bool:
+    def redirects(self, worker: str, sequence: ReportSequence, idle: bool, has_newer_token: bool, now: float) -> bool:
         """Whether this worker is to be redirected.
 
-        `order`: that of its report, which may be a late copy; `has_newer_token`: its token is higher than any that this
-        node knows.
+        `sequence`: that of its report, which may be a delayed copy; `has_newer_token`: the report's token is higher
+        than any that this node knows.
         """
         if self.state is PartitionState.CONNECTED:
             return False
-        redirected_at = self._scouts.get(worker)
-        if redirected_at is not None and order > redirected_at:
-            # Redirected, and here again: it found no node, or none that would keep it.
+        redirected_sequence = self._scouts.get(worker)
+        if redirected_sequence is not None and sequence > redirected_sequence:
+            # The redirected worker reports here again: it found no node, or none that would serve it.
             del self._scouts[worker]
             self.move(PartitionEvent.SCOUT_BACK, now)
         served_recently = now - self._served.get(worker, -self._lease_s) < 2 * self._report_s
@@ -118,7 +118,7 @@
         else:
             redirect = False
         if redirect and served_recently:
-            self._scouts[worker] = order
+            self._scouts[worker] = sequence
             if self.state is PartitionState.ISOLATED:
                 self.move(PartitionEvent.SCOUTS_LEFT, now)
             return True
@@ -127,8 +127,9 @@
     def _may_scout(self, preferred: bool, now: float) -> bool:
         """Whether one more worker may be redirected as a scout.
 
-        Idle workers first; then those whose lease outlives the whole round; if there is neither, one that may lose
-        its work: that costs a machine's tasks where the zone is partitioned, and half the fleet where it is not.
+        Idle workers and those with a newer token go first, then workers whose lease outlasts a round of all nodes. If
+        there are none, a worker goes that may lose its tasks: if the zone is partitioned, that costs the tasks of one
+        machine; if it is not, sending no scout would cost half the fleet.
         """
         if len(self._scouts) >= constants.PARTITION_SCOUTS:
             return False
@@ -137,10 +138,10 @@
         waited = now - self.since - constants.ISOLATED_AFTER_S
         if waited <= 0:
             return False
-        lease_outlives_round = self._lease_s > self._round_s + constants.CLOCK_DRIFT * self._lease_s
+        lease_outlives_round = self._lease_s > self._node_round_s + constants.CLOCK_DRIFT * self._lease_s
         return preferred or (lease_outlives_round and waited > 2 * self._report_s) or waited > self._lease_s / 2
 
     def served(self, worker: str, now: float) -> None:
-        """Note that a worker's report has been answered with 200."""
+        """Record that a worker's report was answered with 200."""
         if self.state is not PartitionState.CONNECTED:
             self._served[worker] = now
--- a/winglift/workers/probes.py
+++ b/winglift/workers/probes.py
@@ -1,7 +1,7 @@
 """Probes of silent machines (PROTOCOL, "GET /show").
 
-A probe asks whether the machine is gone or its worker is changing to another node. The answer is a report, newer than
-what is known. A missing answer proves nothing (docs/design.md); it only says how likely the machine is to come back.
+A probe tells a machine that is gone from one whose worker is switching to another node. The answer is a report, newer
+than the last one. A missing answer proves nothing (docs/design.md); it only shows how likely the machine is to return.
 """
 
 from __future__ import annotations
@@ -28,37 +28,38 @@
     """Probes machines for one leader term, at most PROBES_AT_ONCE at a time, and reconciles their reports."""
 
     def __init__(self, cluster: ClusterState, leadership: Leadership) -> None:
-        """Probe on behalf of `leadership`; reports are reconciled only while it is entitled to act."""
+        """Probe for the leader with this `leadership`; reports are reconciled only while it is entitled to act."""
         self.cluster = cluster
         self.leadership = leadership
         self._probes: dict[str, asyncio.Task] = {}
 
     def probe(self, machines: Iterable[Machine], controls: Mapping[str, Machine]) -> None:
-        """Probe these machines, not too many at once: those left out are probed by a later call.
+        """Probe these machines as far as the limit of concurrent probes allows; a later call probes the others.
 
-        `controls`: per zone a machine that has just reported, which is probed as well.
+        `controls`: per zone a machine that has just reported, which is probed for comparison.
         """
         for machine in machines:
             if len(self._probes) >= constants.PROBES_AT_ONCE:
                 return
-            # Where every machine is unresponsive there is no control to compare with; their answers alone count then.
+            # An unresponsive machine is its own control, so that it is probed even if every machine is unresponsive.
+            # Only an answer counts then.
             control = machine if machine.state is MachineState.UNRESPONSIVE else controls.get(machine.zone)
             if machine.name not in self._probes and machine.addr and control is not None:
                 machine.probed_at = monotonic_time()
                 self._probes[machine.name] = asyncio.ensure_future(self._probe(machine, control))
 
     def stop(self) -> None:
-        """Cancel all probes under way."""
+        """Cancel all probes in flight."""
         for task in self._probes.values():
             task.cancel()
 
     async def _probe(self, machine: Machine, control: Machine) -> None:
         """Probe a machine together with its control.
 
-        A missing answer counts only if the control answers: a leader partitioned from all workers had given sound
-        machines up.
+        A missing answer counts only if the control answers: without this, a leader that was partitioned from all
+        workers gave up healthy machines.
         """
-        sent = monotonic_time()
+        sent_at = monotonic_time()
         try:
             if control is machine:
                 await self._request_report(machine)
@@ -66,19 +67,19 @@
             answered, control_answered = await asyncio.gather(
                 self._request_report(machine), self._request_report(control)
             )
-            # If this node was paused, the answer may have been there.
+            # If this node was paused meanwhile, the answer may have arrived in time.
             if (
                 not answered
                 and control_answered
-                and monotonic_time() - sent < constants.PROBE_TIMEOUT_S + constants.NODE_PAUSE_S
+                and monotonic_time() - sent_at < constants.PROBE_TIMEOUT_S + constants.NODE_PAUSE_S
             ):
-                machine.probe_failed_at = sent
+                machine.probe_failed_at = sent_at
                 self.cluster.changed = True
         finally:
             self._probes.pop(machine.name, None)
 
     async def _request_report(self, machine: Machine) -> bool:
-        """Whether the machine answers within PROBE_TIMEOUT_S; its report is reconciled."""
+        """Request a report, reconcile it, and return whether the machine answered within PROBE_TIMEOUT_S."""
         host, _, port = machine.addr.partition(":")
         try:
             reply = (
--- a/winglift/workers/reports.py
+++ b/winglift/workers/reports.py
@@ -1,11 +1,11 @@
 """Answers workers' reports (PROTOCOL, "POST /v1/report").
 
-A worker belongs to a node of its own zone where there is one, or else to the leader. Any other node forwards its
-reports to the leader over the peer connection and passes the leader's answer on. If that connection fails, the answer
-holds no commands: it renews the worker's lease and keeps its tasks alive through outages and partitions. Since the node
-is in the worker's own zone, a partition between zones does not affect the worker at all. That is safe because the end
-of a lease is nowhere taken as a proof that tasks are gone (docs/design.md): only a newer report or an answered deletion
-is.
+A worker belongs to a node of its own zone where there is one, or else to the leader. A node that does not
+lead forwards its reports to the leader over the peer connection and passes the leader's answer on. If that connection
+fails, the answer holds no commands: it renews the worker's lease and keeps its tasks alive through outages and
+partitions. Since the node is in the worker's own zone, a partition between zones does not affect the worker at all.
+This is safe because an expired lease is never taken as proof that tasks have ended (docs/design.md): only a newer
+report or an answered deletion is.
 """
 
 from __future__ import annotations
@@ -37,21 +37,21 @@
 
 
 class ReportingLeader(Protocol):
-    """What answering reports needs of a leader term."""
+    """The part of a leader term that the report handler uses."""
 
     @property
     def term(self) -> int:
         """The term, which is also the token of the commands."""
 
     def on_report(self, report: worker_messages.Report) -> list[worker_messages.Command] | None:
-        """Commands for the worker, or None if the answer is not to be 200."""
+        """Return the commands for the worker, or None if the answer must not be 200."""
 
     def has_pending_starts(self, name: str) -> bool:
-        """Whether there are starts that the answer to the next report of this machine should carry."""
+        """Whether the answer to this machine's next report should carry start commands."""
 
 
 class ReportHost(Protocol):
-    """What answering reports needs of the node that receives them."""
+    """The part of a node that the report handler uses."""
 
     @property
     def settings(self) -> Settings:
@@ -67,10 +67,10 @@
 
     @property
     def cancellation_enforcer(self) -> CancellationEnforcer:
-        """The enforcer that adds the stops of cancelled tasks to answers."""
+        """The enforcer that adds stop commands for cancelled tasks to answers."""
 
     def hears_others(self) -> bool:
-        """Whether the state service or any other node is in reach."""
+        """Whether this node can reach the state service or any other node."""
 
     def leader_elsewhere(self) -> str | None:
         """The node that leads and that this one can't forward reports to, if there is one."""
@@ -80,34 +80,34 @@
 
 
 @dataclass(slots=True)
-class Contact:
+class WorkerContact:
     """A worker that belongs to another node. Times are monotonic seconds.
 
-    It is served first, and only then redirected to its home node: a worker that had just lost its node to a partition
-    was once redirected to it again, and its lease ran out before it had tried all nodes once more.
+    It is served first, and only then redirected to its home node: a worker that had just lost that node to a partition
+    was once redirected to it at once, and its lease expired before it had tried all nodes again.
     """
 
     reported_at: float = 0.0
-    served: bool = False  # answered with 200 since its last redirect
+    was_served: bool = False  # whether it was answered with 200 since its last redirect
     redirected_at: float = -math.inf
-    stay_until: float = -math.inf  # it is served here until then
+    serve_until: float = -math.inf  # not redirected to its home node before then
 
 
 class ReportHandler:
-    """Answers the reports that come to this node: as the leader, by forwarding, or by renewing the lease alone."""
+    """Answers the reports that this node receives: as the leader, by forwarding, or by only renewing the lease."""
 
     def __init__(self, node: ReportHost) -> None:
-        """Start in contact, with no worker known."""
+        """Start without any known worker, and connected to a leader."""
         self.node = node
-        self._contacts: dict[str, Contact] = {}
+        self._contacts: dict[str, WorkerContact] = {}
         workers = node.settings.settings.workers
-        self.last_report_at = -math.inf  # monotonic time of the last report that came here
+        self.last_report_at = -math.inf  # monotonic time of the last report received
         self.partition_detector = PartitionDetector(len(node.settings.seeds), workers.lease_s, workers.report_s)
 
     def handle(self, body: bytes) -> Answer | asyncio.Future[Answer]:
-        """The answer to a report, at once where this node can give it: most reports then need no task of their own.
+        """Return the answer to a report, directly if this node can give it, so that most reports need no asyncio task.
 
-        400: malformed; 421: the worker is redirected to another node; 200: the worker's commands.
+        Status 400: malformed; 421: the worker is redirected to another node; 200: commands for the worker.
         """
         try:
             report = worker_messages.parse_report(body)
@@ -137,43 +137,43 @@
             if leader is not None:
                 return self._forward(leader, body, report, home is not None)
             answer = self._renew_lease(report)
-        return self._finish(report, answer, home is not None)
+        return self._complete_answer(report, answer, home is not None)
 
     def _forward(
         self, leader: Peer, body: bytes, report: worker_messages.Report, belongs_elsewhere: bool
     ) -> asyncio.Future[Answer]:
         answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
 
-        def finish(forwarded: Answer | None) -> None:
+        def on_forwarded(forwarded: Answer | None) -> None:
             accepted = forwarded is not None and forwarded[0] == 200
             answer.set_result(
-                self._finish(
+                self._complete_answer(
                     report,
                     forwarded if forwarded is not None and accepted else self._renew_lease(report),
                     belongs_elsewhere,
                 )
             )
 
-        self.node.peers.forward_report(leader, body, finish)
+        self.node.peers.forward_report(leader, body, on_forwarded)
         return answer
 
-    def _finish(self, report: worker_messages.Report, answer: Answer, belongs_elsewhere: bool) -> Answer:
+    def _complete_answer(self, report: worker_messages.Report, answer: Answer, belongs_elsewhere: bool) -> Answer:
         stops = self.node.cancellation_enforcer.on_report(report)
         if answer[0] == 200:
             if stops:
                 answer = 200, _with_stops(answer[1], stops)
             self.partition_detector.served(report.machine, monotonic_time())
             if belongs_elsewhere:
-                self._contact(report.machine, monotonic_time()).served = True
+                self._contact(report.machine, monotonic_time()).was_served = True
         return answer
 
     def _any_node_for(self, machine: str) -> str:
-        """Some other node, always the same one for a machine: which node leads now is not known here."""
+        """Another node, always the same one for a machine: this node does not know which one leads now."""
         seeds = self.node.settings.seeds
         return seeds[crc32(machine.encode()) % len(seeds)].node
 
     def _answer_as_leader(self, report: worker_messages.Report) -> Answer | None:
-        """Answer as the leader, or None when this node does not lead."""
+        """Answer as the leader; None if this node does not lead, or the report's token shows a later term."""
         leader_term = self.node.leader_term
         if leader_term is None or report.token > leader_term.term:
             return None
@@ -183,7 +183,7 @@
         return 200, msgspec.json.encode(worker_messages.Commands(leader_term.term, commands))
 
     def answer_forwarded(self, body: bytes) -> Answer:
-        """Answer a report that another node has forwarded: 503 if this one does not lead, 400 if it is malformed."""
+        """Answer a report forwarded by another node: 503 if this node does not lead, 400 if the report is malformed."""
         try:
             answer = self._answer_as_leader(worker_messages.parse_report(body))
         except Invalid as err:
@@ -191,7 +191,7 @@
         return answer or (503, msgspec.json.encode({"error": "does not lead"}))
 
     def _home_node(self, zone: str, now: float) -> str | None:
-        """The node that workers of a zone belong to, or None if that is this one."""
+        """The node that workers of a zone belong to, or None if it is this node or unknown."""
         settings, peers = self.node.settings, self.node.peers
         leader = peers.leader(now)
         if settings.zone == zone or (leader is None and self.node.leader_term is None):
@@ -204,31 +204,34 @@
         return leader.seed.node if leader is not None and self.node.leader_term is None else None
 
     def _redirect_target(self, machine: str, home: str, now: float) -> str | None:
-        """The node to redirect the worker to: its home node, unless it has just come back from there; None: none."""
+        """The node to redirect the worker to: its home node, or None if it is served here.
+
+        It is served here first, and for FORWARD_STICKY_S after it has come back from its home node.
+        """
         contact = self._contact(machine, now)
         if now - contact.redirected_at < constants.REDIRECT_MEMORY_S:
-            contact.stay_until = now + constants.FORWARD_STICKY_S
+            contact.serve_until = now + constants.FORWARD_STICKY_S
             contact.redirected_at = -math.inf
-            contact.served = False
-        if not contact.served or now < contact.stay_until:
+            contact.was_served = False
+        if not contact.was_served or now < contact.serve_until:
             return None
-        # Its lease has just been renewed, so there is time to try.
-        contact.served = False
+        # The last answer renewed its lease, so it has time to try its home node.
+        contact.was_served = False
         contact.redirected_at = now
         return home
 
-    def _contact(self, machine: str, now: float) -> Contact:
-        """What this node remembers of a machine that belongs to another one, for CONTACT_MEMORY_S after a report."""
+    def _contact(self, machine: str, now: float) -> WorkerContact:
+        """The contact of a machine that belongs to another node, kept for CONTACT_MEMORY_S after its last report."""
         contact = self._contacts.get(machine)
         if contact is None or now - contact.reported_at > constants.CONTACT_MEMORY_S:
             if len(self._contacts) > constants.CONTACTS_MAX:
                 self._contacts.clear()
-            contact = self._contacts[machine] = Contact()
+            contact = self._contacts[machine] = WorkerContact()
         contact.reported_at = now
         return contact
 
     def _renew_lease(self, report: worker_messages.Report) -> Answer:
-        """Keep the worker's tasks alive without any command; 503 while no term is known."""
+        """An answer without commands, which renews the worker's lease; 503 while no term is known."""
         term = max(report.token, self.node.known_term())
         if term == 0:
             return 503, msgspec.json.encode({"error": "no leader yet"})
@@ -236,7 +239,7 @@
 
 
 def _with_stops(answer: bytes, stops: list[worker_messages.Command]) -> bytes:
-    """The encoded answer with these stops added, under its own term (invariant 8)."""
+    """Add stops to an encoded answer and keep its term, so that any answer enforces cancellations (invariant 8)."""
     commands = _commands_decoder.decode(answer)
     present = {(command.op, command.task, command.attempt) for command in commands.commands}
     added = [stop for stop in stops if (stop.op, stop.task, stop.attempt) not in present]
