--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -53,23 +53,23 @@
     )
 
 
-def cancellations(most: int = 10) -> CancellationRegistry:
-    return CancellationRegistry(0.025, CANCEL_S, most)
+def make_registry(capacity: int = 10) -> CancellationRegistry:
+    return CancellationRegistry(0.025, CANCEL_S, capacity)
 
 
 ACTIONS = st.sampled_from(["record", "proof", "gone", "answer", "answer with", "report", "lead", "orphan"])
 
 
 @given(st.lists(st.tuples(ACTIONS, st.sampled_from(MACHINES), st.floats(0.1, 4.0)), max_size=40))
-def test_a_cancellation_is_confirmed_by_proof_only_and_reopened_by_a_reported_task(course):
-    """Against a plain model: the machines that have not been proven free since they were last seen to hold a task."""
-    registry, now, version = cancellations(), 0.0, 5
+def test_a_cancellation_is_confirmed_by_proof_only_and_reopened_by_a_reported_task(steps):
+    """Compares the registry with a simple model: the machines not proven free since they last reported a task."""
+    registry, now, version = make_registry(), 0.0, 5
     held = set(MACHINES)
     cancellation = registry.add_record("wk-1", version, record(dict.fromkeys(MACHINES, "0-1")), now)
     assert cancellation is not None
-    for action, machine, later in course:
-        now += later
-        # Since this node knows of it: its time of day may be of long before the commit.
+    for action, machine, delay_s in steps:
+        now += delay_s
+        # Counted from when this node learns of the cancellation: `cancelled_at` may be much earlier than the commit.
         settled = now >= registry.settle_s
         if action == "record":
             version += 1
@@ -86,10 +86,10 @@
             if settled:
                 held.discard(machine)
         elif action == "answer with":
-            assert [h.task for h in registry.on_probe_answer(report(machine, "wk-1/7"), now, now)] == ["wk-1/7"]
+            assert [stop.task for stop in registry.on_probe_answer(report(machine, "wk-1/7"), now, now)] == ["wk-1/7"]
             held.add(machine)
         elif action == "report":
-            # An exit is no task on the machine, and no proof either: it may be a copy of an old report.
+            # A reported exit means neither a task on the machine nor a proof: the report may be an old copy.
             assert registry.on_report(report(machine, "wk-1/7", phase=worker_messages.Phase.EXITED), now) == []
         else:
             cancellation.move(CancellationEvent.DELEGATE if action == "lead" else CancellationEvent.DELEGATE_LOST, now)
@@ -105,10 +105,12 @@
 
 
 @pytest.mark.parametrize("late_s", [0.0, 2.0, 12.0, 60.0])
-def test_a_cancellation_that_was_carried_out_late_is_no_older_than_the_word_of_it(late_s):
-    """Its time of day was read before the transaction was sent, and a leader may have sent starts until it was carried
-    out: an answer that comes soon after proves nothing."""
-    registry, now = cancellations(), 100.0
+def test_the_settle_time_of_a_late_cancellation_begins_when_the_node_learns_of_it(late_s):
+    """`cancelled_at` is read before the transaction is sent, and a leader may send starts until it is executed.
+
+    An answer to a probe sent soon after that proves nothing.
+    """
+    registry, now = make_registry(), 100.0
     cancellation = registry.add_record("wk-1", 5, record({"vm-000001": "0"}, at=now - late_s), now)
     assert cancellation is not None
     # What counts is when the probe was sent: the answer may have been delayed.
@@ -118,13 +120,13 @@
     assert cancellation.state is CancellationState.CONFIRMED
 
 
-def test_each_event_leads_to_a_state_or_changes_nothing():
+def test_each_event_follows_the_transition_table():
     for state, event in itertools.product(CancellationState, CancellationEvent):
-        cancellation = cancellations().add_record("wk-1", 1, record({"vm-000001": "0"}), 0.0)
+        cancellation = make_registry().add_record("wk-1", 1, record({"vm-000001": "0"}), 0.0)
         assert cancellation is not None
         cancellation.state = state
         assert cancellation.move(event, 1.0) is TRANSITIONS.get((state, event), state)
-    # Only a reported task reopens a confirmed one, and nothing confirms one but a proof.
+    # Only a reported task reopens a confirmed cancellation, and only a proof confirms one.
     assert {e for (s, e), new in TRANSITIONS.items() if s is CancellationState.CONFIRMED} == {
         CancellationEvent.TASK_SEEN
     }
@@ -135,14 +137,14 @@
 
 @pytest.mark.parametrize("state", ["o", "d"])
 def test_a_record_that_is_open_or_done_gives_no_cancellation(state):
-    registry = cancellations()
+    registry = make_registry()
     assert registry.add_record("wk-1", 3, record({"vm-000001": "0"}, state), 0.0) is None and not registry.by_job
-    # Cancelled, but nothing was ever assigned.
+    # Cancelled, but without any assigned task.
     assert registry.add_record("wk-1", 3, record({}), 0.0) is None and not registry.by_job
 
 
 def test_a_repeated_and_an_older_record_change_nothing():
-    registry = cancellations()
+    registry = make_registry()
     cancellation = registry.add_record("wk-1", 5, record({"vm-000001": "0", "vm-000002": "1"}), 0.0)
     registry.clear_machine("wk-1", "vm-000001", 1.0, proven_by_peer=True)
     for version in (5, 4):
@@ -150,8 +152,8 @@
         assert cancellation is not None and set(cancellation.stop_commands) == {"vm-000002"}
 
 
-def test_the_registry_has_a_bound_and_drops_no_outstanding_cancellation():
-    registry = cancellations(most=3)
+def test_the_registry_is_bounded_and_drops_no_outstanding_cancellation():
+    registry = make_registry(capacity=3)
     for n in range(3):
         registry.add_record(f"wk-{n}", 1, record({"vm-000001": "0"}), 0.0)
     registry.by_job["wk-1"].move(CancellationEvent.DELEGATE, 0.0)
@@ -160,8 +162,8 @@
     assert registry.add_record("wk-8", 1, record({"vm-000001": "0"}), 0.0) is None and len(registry.by_job) == 3
 
 
-def test_a_node_that_has_just_become_responsible_probes_first_unless_time_runs_out():
-    registry = cancellations()
+def test_a_newly_responsible_node_probes_before_it_deletes_unless_the_deadline_is_near():
+    registry = make_registry()
     cancellation = registry.add_record("wk-1", 1, record({"vm-000001": "0"}), 0.0)
     assert cancellation is not None
     early, late = CANCEL_S * constants.CANCEL_DELETE_SHARE + 0.5, CANCEL_S * constants.CANCEL_LAST_SHARE + 0.5
@@ -171,7 +173,7 @@
     ) == ["vm-000001"]
     cancellation.state_since = late - 0.1
     assert registry.machines_to_delete(late, late, 0, 2.0) == ["vm-000001"]
-    # The next node waits for what the first one does.
+    # A node of the next rank waits longer, so that the first one can delete the machine.
     cancellation.state_since = 0.0
     assert registry.machines_to_delete(early, early, 1, 2.0) == [] and registry.machines_to_delete(
         late, late, 1, 2.0
@@ -184,31 +186,31 @@
 @pytest.mark.parametrize(
     "note", [b"", b"{", b'{"t":1}', b"\xff\xfe", records.encode(record({"vm-000001": "0"})).replace(b'"0"', b'"0-x"')]
 )
-def test_an_announcement_that_is_no_record_is_refused_and_ends_no_connection(note, caplog):
+def test_an_announcement_of_an_invalid_record_is_rejected(note, caplog):
     scene = begun()
     host, node = scene.nodes["node-1"]
     assert host.context.run(node._on_peer_job_record, peer_messages.JobNote(3, "wk-1", note)) == 400
     assert len(caplog.records) == 1 and not node.cancellation_enforcer.cancellations.by_job
 
 
-def test_a_late_announcement_of_an_older_record_brings_no_assignment_back():
-    """The leader has proven all of it and forgotten the job; a node tells it the record as it was cancelled."""
+def test_a_late_announcement_of_an_older_record_restores_no_assignment():
+    """The leader has proof that all tasks ended and has dropped the job; then a node announces its older record."""
     scene = begun(run_s=500.0)
     scene.submit("wk-1", pieces=4)
     scene.loop.run(20.0)
-    told: list[tuple[int, records.JobRecord]] = []
+    announced: list[tuple[int, records.JobRecord]] = []
     for _, node in scene.nodes.values():
 
-        def take(ref, version, record, usual=node.cancellation_enforcer.add_record):
-            told.append((version, record))
-            return usual(ref, version, record)
+        def take(ref, version, record, original=node.cancellation_enforcer.add_record):
+            announced.append((version, record))
+            return original(ref, version, record)
 
         node.cancellation_enforcer.add_record = take  # type: ignore[method-assign]
     scene.poll("wk-1", cancel=True)
     scene.loop.run(scene.loop.now + 20.0)
     host, node = scene.nodes[scene.leader() or ""]
     assert node.leader_term is not None and "wk-1" not in node.leader_term.cluster.jobs
-    version, record = next((v, r) for v, r in told if r.assignments)
+    version, record = next((v, r) for v, r in announced if r.assignments)
     scene.loop.call_soon(
         lambda: node._on_peer_job_record(peer_messages.JobNote(version, "wk-1", records.encode(record))),
         context=host.context,
@@ -216,10 +218,10 @@
     changes = scene.state.revision
     scene.loop.run(scene.loop.now + 0.5)
     assert "wk-1" not in node.leader_term.cluster.jobs and node.leader_term.cluster.quota.used["team"].gpus == 0
-    assert scene.state.revision <= changes + 1  # at most the book's page
+    assert scene.state.revision <= changes + 1  # at most one periodic write that does not concern the job
 
 
-def test_a_frame_of_a_later_version_ends_no_connection():
+def test_frames_of_a_later_version_do_not_close_the_connection():
     scene = begun()
     _, node = scene.nodes["node-0"]
     peer = node.peers.by_node["node-1"]
@@ -232,32 +234,34 @@
     assert scene.nodes["node-1"][1].peers.by_node["node-0"].fresh(scene.nodes["node-1"][0].monotonic_time())
 
 
-def test_a_node_of_the_version_before_is_notified_at_intervals_and_its_connection_holds(monkeypatch):
-    """It takes an announced record and never answers; a frame that it does not know would end its connection."""
+def test_a_node_of_the_previous_version_is_notified_at_intervals_and_stays_connected(monkeypatch):
+    """Such a node accepts an announced record without answering, and closes the connection on an unknown frame."""
     scene = begun(run_s=500.0)
     scene.submit("wk-1", pieces=4)
     scene.loop.run(20.0)
-    old = next(n for n in scene.nodes if n != scene.leader())
-    told: list[int] = []
+    previous_version_node = next(n for n in scene.nodes if n != scene.leader())
+    announced: list[int] = []
     for name, (_, node) in scene.nodes.items():
-        if name != old:
+        if name != previous_version_node:
 
-            def ask(peer, kind, body, done, node=node, usual=node.peers._ask):
-                if kind is peer_messages.FrameType.JOB_RECORD and peer.seed.node == old:
-                    told.append(1)
-                    usual(peer, kind, body, lambda answer: done(None))
+            def ask(peer, kind, body, done, node=node, original=node.peers._ask):
+                if kind is peer_messages.FrameType.JOB_RECORD and peer.seed.node == previous_version_node:
+                    announced.append(1)
+                    original(peer, kind, body, lambda answer: done(None))
                 else:
-                    usual(peer, kind, body, done)
+                    original(peer, kind, body, done)
 
             node.peers._ask = ask
-            peer = node.peers.by_node[old]
+            peer = node.peers.by_node[previous_version_node]
             monkeypatch.setattr(
-                type(peer), "acknowledges_records", property(lambda p: p.seed.node != old, lambda p, value: None)
+                type(peer),
+                "acknowledges_records",
+                property(lambda p: p.seed.node != previous_version_node, lambda p, value: None),
             )
     scene.poll("wk-1", cancel=True)
     scene.loop.run(scene.loop.now + CANCEL_S + 5.0)
     assert not scene.broken and scene.on_machines("wk-1") == []
-    assert 1 <= len(told) < 2 * CANCEL_S / constants.CANCELLATION_NOTIFY_S
+    assert 1 <= len(announced) < 2 * CANCEL_S / constants.CANCELLATION_NOTIFY_S
 
 
 def test_without_faults_the_leader_enforces_cancellations_and_no_machine_is_deleted_for_them(caplog):
@@ -273,7 +277,7 @@
     scene.loop.run(scene.loop.now + 2 * CANCEL_S)
     assert "without the leader" not in caplog.text
     assert "for a cancelled task" not in caplog.text and "holds the cancelled" not in caplog.text
-    # Nobody keeps anything of it, and nothing was asked of the machines by those who don't lead.
+    # No node keeps any of these cancellations.
     assert all(not node.cancellation_enforcer.cancellations.by_job for _, node in scene.nodes.values())
 
 
@@ -290,7 +294,7 @@
     host.context.run(node.peers.announce_proofs, [("", name)])
     scene.loop.run(scene.loop.now + 0.1)
     cluster = scene.nodes[leader][1].leader_term.cluster  # type: ignore[union-attr]
-    # Nobody had told that it deletes it, so the leader proves it by an answer of its own.
+    # The other node had not announced the deletion, so the leader gets a proof from its own request.
     assert name not in cluster.machines or not cluster.machines[name].accepts_tasks
     scene.loop.run(scene.loop.now + 3.0)
     assert name not in cluster.machines and name not in scene.cloud.machines and not scene.broken
@@ -299,7 +303,7 @@
 # -- each guard is needed ----------------------------------------------------------------------
 
 
-def put_off(self, ref, version, record, now):
+def defer_record(self, ref, version, record, now):
     job = self.cluster.jobs.get(ref)
     if job is not None and job.write_in_flight:
         job.deferred_change = (version, records.encode(record))
@@ -307,40 +311,42 @@
         apply_record(self.cluster, ref, version, record, now)
 
 
-def took_at_once(late_answer: bool) -> None:
-    """A write of the leader has no answer for 12 s; meanwhile the word of the cancellation comes."""
+def check_cancellation_during_a_write(late_answer: bool) -> None:
+    """A write of the leader has no answer for 12 s; meanwhile the cancellation is announced to it."""
     scene = begun(run_s=500.0)
     scene.submit("wk-1", pieces=4)
     scene.loop.run(20.0)
     host, node = scene.nodes[scene.leader() or ""]
     assert node.leader_term is not None
     job = node.leader_term.cluster.jobs["wk-1"]
-    found = records.decode(json.dumps(scene.state.keys["job/wk-1"][0]).encode())
-    found.state, found.cancelled_at = "c", scene.loop.now
+    cancelled_record = records.decode(json.dumps(scene.state.keys["job/wk-1"][0]).encode())
+    cancelled_record.state, cancelled_record.cancelled_at = "c", scene.loop.now
     job.write_in_flight = True
-    before = records.decode(records.encode(found))
-    before.state, before.cancelled_at = "o", None
+    open_record = records.decode(records.encode(cancelled_record))
+    open_record.state, open_record.cancelled_at = "o", None
     version = job.version + 2
     answers: list[int] = []
     scene.loop.call_soon(
-        lambda: answers.append(node._on_peer_job_record(peer_messages.JobNote(version, "wk-1", records.encode(found)))),
+        lambda: answers.append(
+            node._on_peer_job_record(peer_messages.JobNote(version, "wk-1", records.encode(cancelled_record)))
+        ),
         context=host.context,
     )
     scene.loop.run(scene.loop.now + 0.01)
     assert answers == [200]
     assert job.state is JobState.CANCELLED and all(task.stopping for task in job.active.values())
     if late_answer:
-        # Its own write was carried out before: the answer takes nothing back.
-        apply_commit(node.leader_term.cluster, job, version - 1, before, host.monotonic_time())
+        # The leader's write was executed before the cancellation: its late answer does not undo it.
+        apply_commit(node.leader_term.cluster, job, version - 1, open_record, host.monotonic_time())
         assert job.state is JobState.CANCELLED and job.version == version
 
 
-def test_a_cancellation_is_taken_in_beside_a_write_without_an_answer():
-    took_at_once(True)
+def test_a_cancellation_is_applied_while_a_write_of_the_job_is_unanswered():
+    check_cancellation_during_a_write(True)
 
 
-def no_settling(self, skew_s, cancel_s, capacity, made=CancellationRegistry.__init__):
-    made(self, skew_s, cancel_s, capacity)
+def without_settle_time(self, skew_s, cancel_s, capacity, original_init=CancellationRegistry.__init__):
+    original_init(self, skew_s, cancel_s, capacity)
     self.settle_s = 0.0
 
 
@@ -375,27 +381,32 @@
         lambda self, now: None,
         lambda: gaps.test_machines_that_only_the_old_leader_has_heard_are_told_and_not_deleted(False),
     ),
-    "a cancellation is not put off": (RecordWatcher, "apply_record", put_off, lambda: took_at_once(False)),
+    "a cancellation is not put off": (
+        RecordWatcher,
+        "apply_record",
+        defer_record,
+        lambda: check_cancellation_during_a_write(False),
+    ),
 }
 
 
 @pytest.mark.parametrize("guard", WITHOUT)
-def test_without_this_guard_cancelled_tasks_go_on(guard, monkeypatch):
-    owner, name, instead, play = WITHOUT[guard]
-    monkeypatch.setattr(owner, name, instead)
+def test_without_this_guard_cancelled_tasks_keep_running(guard, monkeypatch):
+    owner, name, replacement, scenario = WITHOUT[guard]
+    monkeypatch.setattr(owner, name, replacement)
     with pytest.raises(AssertionError):
-        play()
+        scenario()
 
 
-def test_a_start_in_flight_proves_that_an_early_answer_is_no_proof(monkeypatch):
-    """Without the time in which it may come a machine counts as free while the start is on its way to it."""
-    monkeypatch.setattr(CancellationRegistry, "__init__", no_settling)
-    registry = cancellations()
+def test_an_answer_within_the_settle_time_is_no_proof(monkeypatch):
+    """Without the settle time, a machine would count as free while a start command is in flight to it."""
+    monkeypatch.setattr(CancellationRegistry, "__init__", without_settle_time)
+    registry = make_registry()
     registry.add_record("wk-1", 1, record({"vm-000001": "0"}), 0.0)
     registry.on_probe_answer(report("vm-000001"), 0.1, 0.1)
     assert registry.by_job["wk-1"].state is CancellationState.CONFIRMED
     monkeypatch.undo()
-    registry = cancellations()
+    registry = make_registry()
     registry.add_record("wk-1", 1, record({"vm-000001": "0"}), 0.0)
     registry.on_probe_answer(report("vm-000001"), 0.1, 0.1)
     assert registry.by_job["wk-1"].state is CancellationState.OUTSTANDING
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -1,4 +1,4 @@
-"""Renting against a cloud that allows few calls."""
+"""Rentals and deletions while the cloud allows few calls or the state service is unavailable."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 class FakeCloud:
     def __init__(self) -> None:
-        self.open = asyncio.Event()
+        self.calls_allowed = asyncio.Event()
         self.requests: list[tuple[str, str, int]] = []
 
     async def turn(self) -> None:
-        await self.open.wait()
+        await self.calls_allowed.wait()
 
     async def rent(self, request):
         self.requests.append((request.request, request.zone, request.count))
         return [f"vm-{request.request}-{i}" for i in range(request.count)]
 
 
-def test_rentals_that_wait_for_their_turn_become_one_large_request():
-    """In the first rush every cycle queued calls of one to four machines, and the last were sent 40 s later."""
+def test_rentals_that_wait_for_the_call_budget_are_merged_into_one_large_request():
+    """In a first burst of jobs, every cycle queued calls for one to four machines; the last were sent 40 s later."""
 
     async def scenario() -> None:
         cloud, cluster = FakeCloud(), ClusterState(settings(), {"g4": TYPE}, 1)
@@ -36,49 +36,49 @@
         for _ in range(30):
             inventory.rent(Rental("g4", "a", True, 2))
         inventory.rent(Rental("g4", "b", True, 3))
-        assert sum(a.request.count for a in inventory.pending_rentals.values()) == 53
-        cloud.open.set()
+        assert sum(operation.request.count for operation in inventory.pending_rentals.values()) == 53
+        cloud.calls_allowed.set()
         while inventory.pending_rentals:
             await asyncio.sleep(0)
-        # The most that one request may ask for, the largest first; every name is used once.
-        assert [(z, n) for _, z, n in cloud.requests] == [("a", 50), ("b", 3)]
+        # The maximum for one request, the largest request first; every name is used once.
+        assert [(zone, count) for _, zone, count in cloud.requests] == [("a", 50), ("b", 3)]
         assert len({name for name, _, _ in cloud.requests}) == 2 and len(cluster.machines) == 53
 
     asyncio.run(scenario())
 
 
-def test_a_rental_decided_while_another_waits_for_its_turn_is_sent_once():
-    """The second sender once found that the first had sent all that there was, and ended with an error."""
+def test_a_rental_decided_while_another_waits_for_the_call_budget_is_sent_once():
+    """A second sender once failed because the first had already sent all rentals."""
 
     async def scenario() -> None:
         cloud, cluster = FakeCloud(), ClusterState(settings(), {"g4": TYPE}, 1)
         inventory = Inventory(cloud, cluster, 3.0, OpenIntentLog())  # type: ignore[arg-type]
         inventory.rent(Rental("g4", "a", True, 2))
-        cloud.open.set()
+        cloud.calls_allowed.set()
         for _ in range(3):
             await asyncio.sleep(0)
-        cloud.open.clear()
+        cloud.calls_allowed.clear()
         inventory.rent(Rental("g4", "a", False, 1))
         inventory.rent(Rental("g4", "b", False, 1))
         await asyncio.sleep(0)
-        cloud.open.set()
+        cloud.calls_allowed.set()
         while inventory.pending_rentals:
             await asyncio.sleep(0)
-        assert sorted(n for _, _, n in cloud.requests) == [1, 1, 2]
+        assert sorted(count for _, _, count in cloud.requests) == [1, 1, 2]
         assert not [t for t in inventory._tasks if t.done() and t.exception()]
 
     asyncio.run(scenario())
 
 
 class StuckIntentLog(OpenIntentLog):
-    """The state service is away: nothing is recorded."""
+    """An intent log without the state service: nothing gets recorded."""
 
     async def persist(self, operations):
         await asyncio.Event().wait()
 
 
-def test_without_the_state_service_only_what_a_cancellation_demands_is_deleted():
-    """`cancel_s` runs on in an outage, and what demands this deletion is in the job's record."""
+def test_without_the_state_service_only_machines_with_cancelled_tasks_are_deleted():
+    """`cancel_s` also counts during an outage, and the job's record is enough to require this deletion."""
 
     async def scenario() -> None:
         deleted: list[str] = []
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -12,37 +12,37 @@
 
 
 class FakePeerConnections:
-    def __init__(self, leader_zone, locals_by_zone):
+    def __init__(self, leader_zone, local_nodes_by_zone):
         self.peer = SimpleNamespace(seed=SimpleNamespace(node="node-1", zone=leader_zone))
-        self.locals = locals_by_zone
-        self.works = True
+        self.local_nodes = local_nodes_by_zone
+        self.reachable = True
 
     def leader(self, now):
         return self.peer
 
     def reachable_in_zone(self, zone, now):
-        return self.locals.get(zone)
+        return self.local_nodes.get(zone)
 
     def forward_report(self, peer, body, done):
-        done((200, b'{"baton":3,"orders":[]}') if self.works else None)
+        done((200, b'{"baton":3,"orders":[]}') if self.reachable else None)
 
 
-def follower(zone, leader_zone="a", **locals_by_zone):
-    peers = FakePeerConnections(leader_zone, locals_by_zone)
-    own = SimpleNamespace(zone=zone, seeds=settings().seeds, settings=settings().settings)
+def follower(zone, leader_zone="a", **local_nodes_by_zone):
+    peers = FakePeerConnections(leader_zone, local_nodes_by_zone)
+    own_settings = SimpleNamespace(zone=zone, seeds=settings().seeds, settings=settings().settings)
     node = SimpleNamespace(
         peers=peers,
         leader_term=None,
         known_term=lambda: 3,
         hears_others=lambda: True,
         leader_elsewhere=lambda: None,
-        settings=own,
+        settings=own_settings,
         cancellation_enforcer=SimpleNamespace(on_report=lambda report: []),
     )
     return ReportHandler(node), peers  # type: ignore[arg-type]
 
 
-def ask(handler, zone="a", token=3):
+def send_report(handler, zone="a", token=3):
     body = {
         "rig": "vm-1",
         "endpoint": "10.0.0.1:1",
@@ -56,48 +56,48 @@
         "pieces": [],
     }
 
-    async def asked():
+    async def answer_report():
         answer = handler.handle(json.dumps(body).encode())
         return answer if isinstance(answer, tuple) else await answer
 
-    status, text = asyncio.run(asked())
+    status, text = asyncio.run(answer_report())
     return status, json.loads(text)
 
 
 def test_a_worker_is_served_before_it_is_redirected_to_its_home_node():
-    """A redirect to a node behind a partition costs 10 s of going round, which is all of a lease."""
+    """A redirect to a partitioned node costs the worker 10 s of trying all nodes, as long as its lease."""
     handler, _ = follower("b")
-    assert ask(handler)[0] == 200
-    assert ask(handler) == (421, {"reportsTo": "node-1"})
-    assert [ask(handler)[0] for _ in range(3)] == [200, 200, 200]
+    assert send_report(handler)[0] == 200
+    assert send_report(handler) == (421, {"reportsTo": "node-1"})
+    assert [send_report(handler)[0] for _ in range(3)] == [200, 200, 200]
 
 
 def test_a_worker_stays_with_a_node_of_its_own_zone():
-    """Behind a partition between zones, workers on the leader alone once lost 86 tasks to their leases."""
+    """When workers reported only to the leader, a partition between zones ended 86 tasks by expired leases."""
     handler, peers = follower("b")
-    assert [ask(handler, "b")[0] for _ in range(3)] == [200, 200, 200]
-    peers.works = False
-    assert ask(handler, "b") == (200, {"baton": 3, "orders": []})
+    assert [send_report(handler, "b")[0] for _ in range(3)] == [200, 200, 200]
+    peers.reachable = False
+    assert send_report(handler, "b") == (200, {"baton": 3, "orders": []})
 
 
 def test_a_worker_of_a_third_zone_goes_to_the_node_there_or_else_to_the_leader():
     handler, _ = follower("b", c="node-2")
-    assert [ask(handler, "c") for _ in range(2)][1] == (421, {"reportsTo": "node-2"})
+    assert [send_report(handler, "c") for _ in range(2)][1] == (421, {"reportsTo": "node-2"})
     handler, _ = follower("b")
-    assert [ask(handler, "c") for _ in range(2)][1] == (421, {"reportsTo": "node-1"})
+    assert [send_report(handler, "c") for _ in range(2)][1] == (421, {"reportsTo": "node-1"})
 
 
 def test_without_a_peer_connection_the_lease_is_renewed_with_the_highest_term_and_no_command():
     handler, peers = follower("a")
-    peers.works = False
-    assert ask(handler) == (200, {"baton": 3, "orders": []})
-    assert ask(handler, token=5) == (200, {"baton": 5, "orders": []})
+    peers.reachable = False
+    assert send_report(handler) == (200, {"baton": 3, "orders": []})
+    assert send_report(handler, token=5) == (200, {"baton": 5, "orders": []})
     peers.peer = None
-    assert ask(handler, token=1) == (200, {"baton": 3, "orders": []})
+    assert send_report(handler, token=1) == (200, {"baton": 3, "orders": []})
 
 
-def test_no_term_is_made_up():
+def test_a_report_is_refused_while_no_term_is_known():
     handler, peers = follower("a")
     peers.peer = None
     handler.node.known_term = lambda: 0
-    assert ask(handler, token=0)[0] == 503
+    assert send_report(handler, token=0)[0] == 503
--- a/tests/test_script.py
+++ b/tests/test_script.py
@@ -1,4 +1,4 @@
-"""The operators' script: what it may set, what it may not reach, and that it never stops scheduling."""
+"""The operators' script: what it may set, what it can't access, and that it never stops scheduling."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 def test_settings_and_hooks_of_a_script_apply():
-    made = parse(
+    parsed_script = parse(
         """return {
         idle_keep_s = 90,
         reserve = function(class, n) return class == 'x' and n + 2 or n end,
     }""",
         "s.lua",
     )
-    assert made.number("idle_keep_s") == 90
-    assert made.ask("reserve", 3.0, "x", 3.0) == 5.0
-    assert made.ask("reserve", 3.0, "y", 3.0) == 3.0
+    assert parsed_script.number("idle_keep_s") == 90
+    assert parsed_script.ask("reserve", 3.0, "x", 3.0) == 5.0
+    assert parsed_script.ask("reserve", 3.0, "y", 3.0) == 3.0
 
 
 @pytest.mark.parametrize(
@@ -62,10 +62,10 @@
     ],
 )
 def test_failing_hook_is_disabled_and_its_default_applies(body):
-    made = parse(f"return {{reserve = function(class, n) {body} end}}", "s.lua")
-    assert made.ask("reserve", 3.0, "c", 3.0) == 3.0
-    assert made.hooks == {}
-    assert made.ask("reserve", 4.0, "c", 4.0) == 4.0
+    parsed_script = parse(f"return {{reserve = function(class, n) {body} end}}", "s.lua")
+    assert parsed_script.ask("reserve", 3.0, "c", 3.0) == 3.0
+    assert parsed_script.hooks == {}
+    assert parsed_script.ask("reserve", 4.0, "c", 4.0) == 4.0
 
 
 def test_a_missing_file_is_named():
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -49,7 +49,7 @@
     assert "settings.workers.lease_s" in result.stderr and result.stderr.count("\n") == 1
 
 
-def test_the_check_starts_nothing(tmp_path):
+def test_check_only_validates_the_file(tmp_path):
     path = tmp_path / "good.toml"
     path.write_text(SETTINGS)
     result = run("--config", str(path), "--check")
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -1,4 +1,4 @@
-"""Bounds on numbers of machines or tasks, at one and a half times the largest fleet (970 machines), on one node."""
+"""Limits on numbers of machines or tasks, on one node and with 970 machines, 1.5 times the largest fleet."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from winglift.wire import workers as worker_messages
 from winglift.workers.probes import Prober
 
-FLEET = 970
+FLEET_MACHINES = 970
 
 
 def report(number: int, tick: int = 5) -> bytes:
@@ -36,58 +36,59 @@
     ).encode()
 
 
-@pytest.mark.parametrize("machines", [FLEET, constants.CONTACTS_MAX + 500])
+@pytest.mark.parametrize("machines", [FLEET_MACHINES, constants.CONTACTS_MAX + 500])
 @pytest.mark.parametrize("leader_reachable", [True, False])
 def test_the_remaining_node_answers_all_workers_within_a_second_and_some_of_them_twice(machines, leader_reachable):
-    """None is rejected, whether the leader can be reached or not; the contacts that are kept have a bound."""
+    """No report is rejected, whether the leader can be reached or not, and the number of kept contacts is bounded."""
     handler, peers = follower("a", b="node-1")
-    peers.works = leader_reachable
+    peers.reachable = leader_reachable
 
     async def ask(number: int, tick: int) -> int:
         answer = handler.handle(report(number, tick))
         return (answer if isinstance(answer, tuple) else await answer)[0]
 
     async def scenario() -> list[int]:
-        found = [await ask(n, 5) for n in range(machines)]
-        return found + [await ask(n, 5) for n in range(0, machines, 3)]
+        first_answers = [await ask(n, 5) for n in range(machines)]
+        return first_answers + [await ask(n, 5) for n in range(0, machines, 3)]
 
     statuses = asyncio.run(scenario())
-    # A second report of a worker of the other zone is redirected to its own zone, once one has been answered.
+    # The second report of a worker of the other zone is redirected to its own zone, once the first one was answered.
     assert set(statuses[:machines]) == {200} and set(statuses) <= {200, 421}
     assert len(handler._contacts) <= constants.CONTACTS_MAX + 1
 
 
 def test_the_parsed_names_of_all_running_tasks_stay_cached():
-    """With a cache one entry too small none would be found: reports list all of them in turn."""
+    """Reports list all tasks in turn, so that with a cache one entry too small every lookup would miss."""
     worker_messages.parse_task.cache_clear()
     for _ in range(2):
-        for number in range(FLEET * 8):
+        for number in range(FLEET_MACHINES * 8):
             worker_messages.parse_task(f"wk-{number // 8:06d}/{number % 8}")
-    assert worker_messages.parse_task.cache_info().hits == FLEET * 8
+    assert worker_messages.parse_task.cache_info().hits == FLEET_MACHINES * 8
     worker_messages.parse_task.cache_clear()
 
 
 @pytest.mark.parametrize("most", [4096 - constants.RECORD_SPARE_BYTES, 8192 - constants.RECORD_SPARE_BYTES])
 def test_image_caches_of_all_machines_fit_their_records_with_the_latest_used_images_at_least(most):
     images = {
-        f"vm-{n:06d}": {f"img-{i % 60:02d}": 6.0 + i % 60 for i in range(n * 7, n * 7 + 10)} for n in range(FLEET)
+        f"vm-{n:06d}": {f"img-{i % 60:02d}": 6.0 + i % 60 for i in range(n * 7, n * 7 + 10)}
+        for n in range(FLEET_MACHINES)
     }
     values = image_cache_record.pack(images, most)
     assert len(values) <= constants.IMAGE_CACHE_RECORDS and all(len(value) <= most for value in values.values())
-    again = image_cache_record.unpack(values.values())
-    assert again.keys() == images.keys()
-    for name, held in again.items():
-        whole = list(images[name].items())
-        assert list(held.items()) == whole[len(whole) - len(held) :]
+    unpacked = image_cache_record.unpack(values.values())
+    assert unpacked.keys() == images.keys()
+    for name, unpacked_images in unpacked.items():
+        packed_images = list(images[name].items())
+        assert list(unpacked_images.items()) == packed_images[len(packed_images) - len(unpacked_images) :]
 
 
-def test_of_a_silent_fleet_a_limited_number_is_probed_at_a_time_and_all_in_turn(monkeypatch):
+def test_probes_of_a_silent_fleet_are_limited_and_reach_all_machines_in_turn(monkeypatch):
     async def scenario() -> None:
         probed: set[str] = set()
         prober = Prober(None, Leadership())  # type: ignore[arg-type]
         machines = [
             Machine(f"vm-{n}", None, "g8", "a", False, MachineState.UP, 0.0, 0.0, addr="10.0.0.1:1", last_heard=0.0)
-            for n in range(FLEET)
+            for n in range(FLEET_MACHINES)
         ]
         control = machines.pop()
 
@@ -99,7 +100,7 @@
         monkeypatch.setattr(prober, "_request_report", request_report)
         monkeypatch.setattr("winglift.workers.probes.monotonic_time", lambda: 10.0)
         prober.cluster = type("FakeClusterState", (), {"changed": False})()  # type: ignore[assignment]
-        for _ in range(FLEET // constants.PROBES_AT_ONCE + 2):
+        for _ in range(FLEET_MACHINES // constants.PROBES_AT_ONCE + 2):
             prober.probe([machine for machine in machines if machine.probe_failed_at < 10.0], {"a": control})
             assert len(prober._probes) <= constants.PROBES_AT_ONCE
             while prober._probes:
--- a/winglift/cloud/inventory.py
+++ b/winglift/cloud/inventory.py
@@ -284,7 +284,7 @@
     # -- reconciliation ------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Reconcile with the cloud's list every LIST_EVERY_S."""
+        """Reconcile with the cloud's list every `LIST_EVERY_S`."""
         while True:
             try:
                 requested_at = monotonic_time()
--- a/winglift/workers/cancellation_enforcement.py
+++ b/winglift/workers/cancellation_enforcement.py
@@ -151,7 +151,7 @@
     # -- enforcement ---------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Check the cancellations every CANCELLATION_CHECK_S, for as long as this node runs."""
+        """Check the cancellations every `CANCELLATION_CHECK_S`, for as long as this node runs."""
         while True:
             if not self.cancellations.by_job:
                 self._cancellation_added.clear()
@@ -230,7 +230,7 @@
         """Send stop commands to the machines of outstanding cancellations.
 
         A machine gets them at once. Once an answer can count as a proof, it gets them again every
-        CANCELLATION_PROBE_S until its answer is one.
+        `CANCELLATION_PROBE_S` until its answer is one.
         """
         for cancellation in self.cancellations.outstanding():
             settled = cancellation.min_age_s(now) >= self.cancellations.settle_s
--- a/winglift/workers/commands.py
+++ b/winglift/workers/commands.py
@@ -32,7 +32,7 @@
     """Send stop commands to a worker's address and return the report that it answers with.
 
     The worker answers with a report both if it has executed the commands (200) and if it has rejected them (409). None
-    is returned if there was no valid answer within COMMAND_TIMEOUT_S.
+    is returned if there was no valid answer within `COMMAND_TIMEOUT_S`.
     """
     host, _, port = addr.partition(":")
     body = msgspec.json.encode(worker_messages.DirectCommands(term, session, commands))
--- a/winglift/workers/probes.py
+++ b/winglift/workers/probes.py
@@ -25,7 +25,7 @@
 
 
 class Prober:
-    """Probes machines for one leader term, at most PROBES_AT_ONCE at a time, and reconciles their reports."""
+    """Probes machines for one leader term, at most `PROBES_AT_ONCE` at a time, and reconciles their reports."""
 
     def __init__(self, cluster: ClusterState, leadership: Leadership) -> None:
         """Probe for the leader with this `leadership`; reports are reconciled only while it is entitled to act."""
@@ -79,7 +79,7 @@
             self._probes.pop(machine.name, None)
 
     async def _request_report(self, machine: Machine) -> bool:
-        """Request a report, reconcile it, and return whether the machine answered within PROBE_TIMEOUT_S."""
+        """Request a report, reconcile it, and return whether the machine answered within `PROBE_TIMEOUT_S`."""
         host, _, port = machine.addr.partition(":")
         try:
             reply = (
--- a/winglift/workers/reports.py
+++ b/winglift/workers/reports.py
@@ -206,7 +206,7 @@
     def _redirect_target(self, machine: str, home: str, now: float) -> str | None:
         """The node to redirect the worker to: its home node, or None if it is served here.
 
-        It is served here first, and for FORWARD_STICKY_S after it has come back from its home node.
+        It is served here first, and for `FORWARD_STICKY_S` after it has come back from its home node.
         """
         contact = self._contact(machine, now)
         if now - contact.redirected_at < constants.REDIRECT_MEMORY_S:
@@ -221,7 +221,7 @@
         return home
 
     def _contact(self, machine: str, now: float) -> WorkerContact:
-        """The contact of a machine that belongs to another node, kept for CONTACT_MEMORY_S after its last report."""
+        """The contact of a machine that belongs to another node, kept for `CONTACT_MEMORY_S` after its last report."""
         contact = self._contacts.get(machine)
         if contact is None or now - contact.reported_at > constants.CONTACT_MEMORY_S:
             if len(self._contacts) > constants.CONTACTS_MAX:
