--- a/winglift/workers/reports.py
+++ b/winglift/workers/reports.py
@@ -1,11 +1,11 @@
 """Answers workers' reports (PROTOCOL, "POST /v1/report").
 
-A worker belongs to a node of its own zone where there is one, or else to the leader. A node that does not
-lead forwards its reports to the leader over the peer connection and passes the leader's answer on. If that connection
-fails, the answer holds no commands: it renews the worker's lease and keeps its tasks alive through outages and
-partitions. Since the node is in the worker's own zone, a partition between zones does not affect the worker at all.
-This is safe because an expired lease is never taken as proof that tasks have ended (docs/design.md): only a newer
-report or an answered deletion is.
+A worker belongs to a node of its own zone where there is one, or else to the leader. A node that does not lead forwards
+its reports to the leader over the peer connection and passes the leader's answer on. If that connection fails, the
+answer holds no commands: it renews the worker's lease and keeps its tasks alive through outages and partitions. Since
+the node is in the worker's own zone, a partition between zones does not affect the worker at all. This is safe because
+an expired lease is never taken as proof that tasks have ended (docs/design.md): only a newer report or an answered
+deletion is.
 """
 
 from __future__ import annotations
