--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -79,7 +79,7 @@
             registry.clear_machine("wk-1", machine, now, proven_by_peer=True)
             held.discard(machine)
         elif action == "gone":
-            registry.machine_deleted(machine, now)
+            registry.on_machine_deleted(machine, now)
             held.discard(machine)
         elif action == "answer":
             assert registry.on_probe_answer(report(machine, "wk-2/0"), now, now) == []
@@ -100,7 +100,7 @@
         if due:
             assert (
                 cancellation.state is CancellationState.OUTSTANDING
-                and now + 2 * registry.skew_s > CANCEL_S * constants.CANCEL_DELETE_SHARE
+                and now + 2 * registry.skew_s > CANCEL_S * constants.CANCELLATION_DELETE_SHARE
             )
 
 
@@ -166,7 +166,10 @@
     registry = make_registry()
     cancellation = registry.add_record("wk-1", 1, record({"vm-000001": "0"}), 0.0)
     assert cancellation is not None
-    early, late = CANCEL_S * constants.CANCEL_DELETE_SHARE + 0.5, CANCEL_S * constants.CANCEL_LAST_SHARE + 0.5
+    early, late = (
+        CANCEL_S * constants.CANCELLATION_DELETE_SHARE + 0.5,
+        CANCEL_S * constants.CANCELLATION_URGENT_SHARE + 0.5,
+    )
     cancellation.state_since = early - 1.0
     assert registry.machines_to_delete(early, early, 0, 2.0) == [] and registry.machines_to_delete(
         early + 1.5, early + 1.5, 0, 2.0
@@ -189,7 +192,7 @@
 def test_an_announcement_of_an_invalid_record_is_rejected(note, caplog):
     scene = begun()
     host, node = scene.nodes["node-1"]
-    assert host.context.run(node._on_peer_job_record, peer_messages.JobNote(3, "wk-1", note)) == 400
+    assert host.context.run(node._on_peer_job_record, peer_messages.RecordAnnouncement(3, "wk-1", note)) == 400
     assert len(caplog.records) == 1 and not node.cancellation_enforcer.cancellations.by_job
 
 
@@ -212,7 +215,7 @@
     assert node.leader_term is not None and "wk-1" not in node.leader_term.cluster.jobs
     version, record = next((v, r) for v, r in announced if r.assignments)
     scene.loop.call_soon(
-        lambda: node._on_peer_job_record(peer_messages.JobNote(version, "wk-1", records.encode(record))),
+        lambda: node._on_peer_job_record(peer_messages.RecordAnnouncement(version, "wk-1", records.encode(record))),
         context=host.context,
     )
     changes = scene.state.revision
@@ -261,7 +264,7 @@
     scene.poll("wk-1", cancel=True)
     scene.loop.run(scene.loop.now + CANCEL_S + 5.0)
     assert not scene.broken and scene.on_machines("wk-1") == []
-    assert 1 <= len(announced) < 2 * CANCEL_S / constants.CANCELLATION_NOTIFY_S
+    assert 1 <= len(announced) < 2 * CANCEL_S / constants.CANCELLATION_NOTIFY_INTERVAL_S
 
 
 def test_without_faults_the_leader_enforces_cancellations_and_no_machine_is_deleted_for_them(caplog):
@@ -328,7 +331,9 @@
     answers: list[int] = []
     scene.loop.call_soon(
         lambda: answers.append(
-            node._on_peer_job_record(peer_messages.JobNote(version, "wk-1", records.encode(cancelled_record)))
+            node._on_peer_job_record(
+                peer_messages.RecordAnnouncement(version, "wk-1", records.encode(cancelled_record))
+            )
         ),
         context=host.context,
     )
@@ -410,4 +415,4 @@
     registry.add_record("wk-1", 1, record({"vm-000001": "0"}), 0.0)
     registry.on_probe_answer(report("vm-000001"), 0.1, 0.1)
     assert registry.by_job["wk-1"].state is CancellationState.OUTSTANDING
-    assert registry.settle_s < CANCEL_S * constants.CANCEL_DELETE_SHARE
+    assert registry.settle_s < CANCEL_S * constants.CANCELLATION_DELETE_SHARE
--- a/tests/test_inventory.py
+++ b/tests/test_inventory.py
@@ -19,7 +19,7 @@
         self.calls_allowed = asyncio.Event()
         self.requests: list[tuple[str, str, int]] = []
 
-    async def turn(self) -> None:
+    async def wait_for_budget(self) -> None:
         await self.calls_allowed.wait()
 
     async def rent(self, request):
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -67,10 +67,10 @@
         )
         client._http = Http()  # type: ignore[assignment]
         client.set_leading(True)
-        client.may_change = lambda: leadership.entitled(time.monotonic())
+        client.may_change = lambda: leadership.has_valid_lease(time.monotonic())
         while client._budget.take(time.monotonic()):
             pass
-        request = cloud_messages.Rent("t1-1", "g4", "a", False, 1)
+        request = cloud_messages.RentRequest("t1-1", "g4", "a", False, 1)
         call = asyncio.ensure_future(client.rent(request) if act == "rent" else client.delete(["vm-1"]))
         await asyncio.sleep(0)
         clock.offset_s += pause_s
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -34,8 +34,8 @@
         peers=peers,
         leader_term=None,
         known_term=lambda: 3,
-        hears_others=lambda: True,
-        leader_elsewhere=lambda: None,
+        can_reach_others=lambda: True,
+        unreachable_leader_name=lambda: None,
         settings=own_settings,
         cancellation_enforcer=SimpleNamespace(on_report=lambda report: []),
     )
--- a/tests/test_script.py
+++ b/tests/test_script.py
@@ -9,7 +9,7 @@
 
 def test_defaults_apply_without_a_script():
     assert Script().number("idle_keep_s") > 0
-    assert Script().ask("reserve", 3.0, "c", 3.0) == 3.0
+    assert Script().call_hook("reserve", 3.0, "c", 3.0) == 3.0
 
 
 def test_settings_and_hooks_of_a_script_apply():
@@ -21,8 +21,8 @@
         "s.lua",
     )
     assert parsed_script.number("idle_keep_s") == 90
-    assert parsed_script.ask("reserve", 3.0, "x", 3.0) == 5.0
-    assert parsed_script.ask("reserve", 3.0, "y", 3.0) == 3.0
+    assert parsed_script.call_hook("reserve", 3.0, "x", 3.0) == 5.0
+    assert parsed_script.call_hook("reserve", 3.0, "y", 3.0) == 3.0
 
 
 @pytest.mark.parametrize(
@@ -63,9 +63,9 @@
 )
 def test_failing_hook_is_disabled_and_its_default_applies(body):
     parsed_script = parse(f"return {{reserve = function(class, n) {body} end}}", "s.lua")
-    assert parsed_script.ask("reserve", 3.0, "c", 3.0) == 3.0
+    assert parsed_script.call_hook("reserve", 3.0, "c", 3.0) == 3.0
     assert parsed_script.hooks == {}
-    assert parsed_script.ask("reserve", 4.0, "c", 4.0) == 4.0
+    assert parsed_script.call_hook("reserve", 4.0, "c", 4.0) == 4.0
 
 
 def test_a_missing_file_is_named():
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -191,11 +191,11 @@
     async def scenario() -> None:
         async with local_cluster() as cluster:
             node = cluster.nodes["node-0"][0]
-            node._server.open = 10_000
+            node._server.open_connections = 10_000
             code, _, headers = await cluster.request("POST", "/work", job("wk-1"))
             assert code == 503 and headers["Retry-After"] == "1"
             assert (await cluster.request("GET", "/up"))[0] == 200
-            node._server.open = 0
+            node._server.open_connections = 0
             assert (await cluster.request("POST", "/work", job("wk-1")))[0] == 201
 
     asyncio.run(scenario())
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -36,7 +36,7 @@
     ).encode()
 
 
-@pytest.mark.parametrize("machines", [FLEET_MACHINES, constants.CONTACTS_MAX + 500])
+@pytest.mark.parametrize("machines", [FLEET_MACHINES, constants.WORKER_CONTACTS_MAX + 500])
 @pytest.mark.parametrize("leader_reachable", [True, False])
 def test_the_remaining_node_answers_all_workers_within_a_second_and_some_of_them_twice(machines, leader_reachable):
     """No report is rejected, whether the leader can be reached or not, and the number of kept contacts is bounded."""
@@ -54,20 +54,20 @@
     statuses = asyncio.run(scenario())
     # The second report of a worker of the other zone is redirected to its own zone, once the first one was answered.
     assert set(statuses[:machines]) == {200} and set(statuses) <= {200, 421}
-    assert len(handler._contacts) <= constants.CONTACTS_MAX + 1
+    assert len(handler._contacts) <= constants.WORKER_CONTACTS_MAX + 1
 
 
 def test_the_parsed_names_of_all_running_tasks_stay_cached():
     """Reports list all tasks in turn, so that with a cache one entry too small every lookup would miss."""
-    worker_messages.parse_task.cache_clear()
+    worker_messages.parse_task_name.cache_clear()
     for _ in range(2):
         for number in range(FLEET_MACHINES * 8):
-            worker_messages.parse_task(f"wk-{number // 8:06d}/{number % 8}")
-    assert worker_messages.parse_task.cache_info().hits == FLEET_MACHINES * 8
-    worker_messages.parse_task.cache_clear()
+            worker_messages.parse_task_name(f"wk-{number // 8:06d}/{number % 8}")
+    assert worker_messages.parse_task_name.cache_info().hits == FLEET_MACHINES * 8
+    worker_messages.parse_task_name.cache_clear()
 
 
-@pytest.mark.parametrize("most", [4096 - constants.RECORD_SPARE_BYTES, 8192 - constants.RECORD_SPARE_BYTES])
+@pytest.mark.parametrize("most", [4096 - constants.RECORD_HEADROOM_BYTES, 8192 - constants.RECORD_HEADROOM_BYTES])
 def test_image_caches_of_all_machines_fit_their_records_with_the_latest_used_images_at_least(most):
     images = {
         f"vm-{n:06d}": {f"img-{i % 60:02d}": 6.0 + i % 60 for i in range(n * 7, n * 7 + 10)}
@@ -100,9 +100,9 @@
         monkeypatch.setattr(prober, "_request_report", request_report)
         monkeypatch.setattr("winglift.workers.probes.monotonic_time", lambda: 10.0)
         prober.cluster = type("FakeClusterState", (), {"changed": False})()  # type: ignore[assignment]
-        for _ in range(FLEET_MACHINES // constants.PROBES_AT_ONCE + 2):
+        for _ in range(FLEET_MACHINES // constants.CONCURRENT_PROBES_MAX + 2):
             prober.probe([machine for machine in machines if machine.probe_failed_at < 10.0], {"a": control})
-            assert len(prober._probes) <= constants.PROBES_AT_ONCE
+            assert len(prober._probes) <= constants.CONCURRENT_PROBES_MAX
             while prober._probes:
                 await asyncio.sleep(0)
         assert probed == {machine.name for machine in [*machines, control]}
--- a/winglift/api/handlers.py
+++ b/winglift/api/handlers.py
@@ -26,10 +26,10 @@
         """Submissions, status and cancellations."""
         ...
 
-    def crowded(self) -> bool:
+    def near_socket_limit(self) -> bool:
         """Whether so many connections are open that users' requests are refused."""
 
-    def not_up(self) -> str | None:
+    def unavailable_reason(self) -> str | None:
         """The reason why the node can't serve requests, or None if it can."""
 
 
@@ -80,7 +80,7 @@
 
     def parse_ref(self, text: str) -> str | None:
         """Return the job id in a path; if it is malformed, answer with 400 and return None."""
-        if user_messages.is_ref(text):
+        if user_messages.is_job_ref(text):
             return text
         self.refuse(400, "ref: expected the form wk-000412")
         return None
@@ -91,7 +91,7 @@
 
     def prepare(self) -> None:
         """Refuse the request with 503 if too many connections are open."""
-        if self.node.crowded():
+        if self.node.near_socket_limit():
             self.set_header("Connection", "close")
             self.refuse(503, "too many connections", constants.RETRY_AFTER_S)
 
@@ -104,7 +104,7 @@
         """
         try:
             status, reply = await operation()
-        except user_messages.Invalid as err:
+        except user_messages.InvalidMessage as err:
             self.refuse(400, str(err))
         except Unschedulable as err:
             self.refuse(422, str(err))
@@ -168,7 +168,7 @@
 
     def get(self) -> None:
         """Answer 200 if the node can serve requests, else 503 with the reason."""
-        reason = self.node.not_up()
+        reason = self.node.unavailable_reason()
         if reason is None:
             self.reply(200, {"up": True})
         else:
--- a/winglift/api/jobs.py
+++ b/winglift/api/jobs.py
@@ -49,7 +49,7 @@
     return StatusReply(ref, JobStatus.RUNNING if running else JobStatus.QUEUED, done, running)
 
 
-def feasible(spec: Submission, settings: Settings, types: dict[str, MachineType]) -> str | None:
+def infeasible_reason(spec: Submission, settings: Settings, types: dict[str, MachineType]) -> str | None:
     """The reason why a job can never run with these machine types, or None if it can."""
     team = next((team for team in settings.settings.teams if team.name == spec.team), None)
     if team is None:
@@ -89,7 +89,7 @@
         self._on_change = on_change
         self._on_seen = on_seen  # called with each record that is reported to a user, whichever node committed it
         self._final_states: OrderedDict[str, StatusReply] = OrderedDict()
-        reads_per_s = settings.settings.state.rps * state.follower_share() * constants.REFRESH_SHARE
+        reads_per_s = settings.settings.state.rps * state.follower_share() * constants.REFRESH_REQUEST_SHARE
         self._read_cache: ReadCache[StatusReply] = ReadCache(
             state, lambda ref, record: status_of(record, ref), 1 / reads_per_s, on_seen
         )
@@ -98,13 +98,13 @@
         """Cache the reply for a finished job: its state never changes, so later requests need no read."""
         if reply.status in (JobStatus.DONE, JobStatus.CANCELLED):
             self._final_states[ref] = reply
-            while len(self._final_states) > constants.FINAL_STATES_CACHED:
+            while len(self._final_states) > constants.FINAL_STATE_CACHE_MAX:
                 self._final_states.popitem(last=False)
 
     def _unavailable(self, reason: str) -> TemporarilyUnavailable:
         """The error to raise if the state service did not answer."""
         down = self.state.health() is Health.DOWN
-        return TemporarilyUnavailable(reason, constants.RETRY_AFTER_DOWN_S if down else constants.RETRY_AFTER_S)
+        return TemporarilyUnavailable(reason, constants.RETRY_AFTER_STATE_DOWN_S if down else constants.RETRY_AFTER_S)
 
     async def _read(self, ref: str) -> tuple[records.JobRecord, int] | None:
         try:
@@ -142,7 +142,7 @@
         if known is not None:
             return 200, known
         record = records.new_record(spec, wall_time())
-        if len(encode(record)) > self.settings.settings.state.value_kb * 1024 * constants.NEW_RECORD_SHARE:
+        if len(encode(record)) > self.settings.settings.state.value_kb * 1024 * constants.NEW_RECORD_SIZE_SHARE:
             raise Unschedulable("the job description is too large to store")
         return await self._commit_new(spec.ref, record)
 
@@ -156,20 +156,20 @@
         # Whether the types are known is decided once, before that read: when they arrived during it, a job that could
         # run was refused with 422.
         types_unknown = not types
-        reason = "machine types are not known yet" if types_unknown else feasible(spec, self.settings, types)
+        reason = "machine types are not known yet" if types_unknown else infeasible_reason(spec, self.settings, types)
         if reason is None:
             return None
         known = await self.status(spec.ref)
         if known is not None:
             return known
-        if not types_unknown and feasible(spec, self.settings, types | self.withdrawn_types()) is None:
+        if not types_unknown and infeasible_reason(spec, self.settings, types | self.withdrawn_types()) is None:
             # The cloud's list of types may be incomplete for a short time, and a refusal with 422 is final.
             raise TemporarilyUnavailable("the only machine type that it fits is not offered now")
         raise TemporarilyUnavailable(reason) if types_unknown else Unschedulable(reason)
 
     async def _commit_new(self, ref: str, record: records.JobRecord) -> tuple[int, StatusReply]:
         """Commit the record of a new job: 201, or 200 if a record of it exists. Raises TemporarilyUnavailable."""
-        condition, put = records.record_change(ref, 0, JobState.OPEN, record)
+        condition, put = records.build_record_write(ref, 0, JobState.OPEN, record)
         sent_at = monotonic_time()
         try:
             result = await self.state.commit(
@@ -191,7 +191,7 @@
         # Announced only after the commit (invariant 4: a job is acknowledged once its record is committed).
         self._read_cache.add_record(ref, result.revision, record)
         self._on_change(ref, result.revision, record)
-        if monotonic_time() - sent_at > constants.SUBMIT_TIMEOUT_S + constants.REFRESH_VALID_S:
+        if monotonic_time() - sent_at > constants.SUBMIT_TIMEOUT_S + constants.REFRESH_MAX_AGE_S:
             # Another node may have accepted a copy of the request, and the job may even be finished: the user retries.
             raise TemporarilyUnavailable("this node was paused")
         return 201, StatusReply(ref, JobStatus.QUEUED)
@@ -204,7 +204,7 @@
         final = self._final_states.get(ref)
         if final is not None:
             return final
-        for _ in range(constants.CANCEL_TRIES):
+        for _ in range(constants.CANCELLATION_ATTEMPTS_MAX):
             versioned_record = await self._read(ref)
             if versioned_record is None:
                 return None
@@ -220,7 +220,7 @@
             record.state = JobState.CANCELLED.value
             # Taken before the commit, and so before the user is answered: any later leader counts cancel_s from it.
             record.cancelled_at = wall_time()
-            condition, put = records.record_change(ref, version, old_state, record)
+            condition, put = records.build_record_write(ref, version, old_state, record)
             try:
                 result = await self.state.commit(state_messages.Transaction([condition], [put]))
             except OutcomeUnknown:
--- a/winglift/api/report_fast_path.py
+++ b/winglift/api/report_fast_path.py
@@ -11,7 +11,7 @@
 from tornado import httputil, web
 from tornado.http1connection import HTTP1Connection
 
-REPORT = "/v1/report"
+REPORT_PATH = "/v1/report"
 
 Answer = tuple[int, bytes]
 ReportHandler = Callable[[bytes], Answer | asyncio.Future[Answer]]
@@ -48,7 +48,7 @@
 
     def headers_received(self, start_line, headers):  # type: ignore[no-untyped-def]
         """Choose the fast path or the application by the request's method and path."""
-        if start_line.method == "POST" and start_line.path == REPORT:
+        if start_line.method == "POST" and start_line.path == REPORT_PATH:
             return None
         self.delegate = self.fast_path.application.start_request(self.server_conn, self.request_conn)
         return self.delegate.headers_received(start_line, headers)
--- a/winglift/cloud/client.py
+++ b/winglift/cloud/client.py
@@ -10,7 +10,7 @@
 
 from .. import constants
 from ..config.settings import Cloud
-from ..net.budget import Budget
+from ..net.budget import TokenBucket
 from ..net.client import NotSent, Reply, Unanswered
 from ..net.runtime import current_runtime, monotonic_time
 from ..wire import cloud as cloud_messages
@@ -34,9 +34,9 @@
     """The cloud has no machine of this type, zone and kind (spot or ordinary) at present."""
 
 
-_types_decoder = msgspec.json.Decoder(cloud_messages.Types)
-_names_decoder = msgspec.json.Decoder(cloud_messages.Names)
-_listing_decoder = msgspec.json.Decoder(cloud_messages.Listing)
+_types_decoder = msgspec.json.Decoder(cloud_messages.MachineTypes)
+_names_decoder = msgspec.json.Decoder(cloud_messages.MachineNames)
+_listing_decoder = msgspec.json.Decoder(cloud_messages.MachineListing)
 
 
 class CloudClient:
@@ -54,7 +54,7 @@
         # For deletions without the fence, by a node that may not lead: whether all these machines are still to be
         # deleted for cancelled jobs.
         self.may_delete_unfenced: Callable[[list[str]], bool] = lambda names: False
-        self._budget = Budget(limits.rps, limits.rps)
+        self._budget = TokenBucket(limits.rps, limits.rps)
         # Number of deletions for cancelled tasks that wait for the budget: all other calls wait until they are sent.
         self._cancellation_calls_waiting = 0
         self.set_leading(False)
@@ -64,9 +64,9 @@
         share = LEADER_RATE_SHARE if leads or self._nodes == 1 else FOLLOWERS_RATE_SHARE / max(1, self._nodes - 1)
         self._budget.resize(self._limits.rps * share, max(1.0, self._limits.rps * share), monotonic_time())
 
-    async def turn(self) -> None:
+    async def wait_for_budget(self) -> None:
         """Wait until the budget allows a call; rentals of a pool that are decided meanwhile become one request."""
-        while self._cancellation_calls_waiting or self._budget.free(monotonic_time()) < 1:
+        while self._cancellation_calls_waiting or self._budget.available(monotonic_time()) < 1:
             await asyncio.sleep(self._budget.wait_s(monotonic_time()) + BUDGET_WAIT_MARGIN_S)
 
     async def _call(
@@ -75,11 +75,11 @@
         path: str,
         body: bytes | None = None,
         for_cancellation: bool = False,
-        door: Callable[[], bool] = lambda: False,
+        may_bypass_fence: Callable[[], bool] = lambda: False,
     ) -> Reply:
         """Send a request once the budget allows it. Raises NotAuthorized, or CloudError if there is no answer.
 
-        `door`: whether a request that the fence rejects may be sent nevertheless.
+        `may_bypass_fence`: whether a request that the fence rejects may be sent nevertheless.
         """
         self._cancellation_calls_waiting += for_cancellation
         try:
@@ -94,7 +94,7 @@
             body is not None
             and not self.may_change()
             and not (for_cancellation and self.may_enforce_cancellations())
-            and not door()
+            and not may_bypass_fence()
         ):
             raise NotAuthorized("not entitled to act")
         try:
@@ -102,7 +102,7 @@
         except (Unanswered, NotSent) as err:
             raise CloudError(str(err)) from None
         if reply.status == 429:
-            self._budget.penalise(monotonic_time())
+            self._budget.deplete(monotonic_time())
         return reply
 
     @staticmethod
@@ -126,7 +126,7 @@
             offered_types[machine_type.name] = machine_type
         return offered_types
 
-    async def rent(self, request: cloud_messages.Rent) -> list[str]:
+    async def rent(self, request: cloud_messages.RentRequest) -> list[str]:
         """Rent machines and return their names. Repeating a request under the same name (`hire`) rents nothing more.
 
         Raises NoCapacity, or CloudError if the outcome is unknown.
@@ -142,7 +142,7 @@
         `for_cancellation`: each of them holds a cancelled task, so a leader whose lease is in doubt may delete it too.
         """
         reply = await self._call(
-            "POST", "/hosts/delete", msgspec.json.encode(cloud_messages.Names(names)), for_cancellation
+            "POST", "/hosts/delete", msgspec.json.encode(cloud_messages.MachineNames(names)), for_cancellation
         )
         if reply.status != 200:
             raise CloudError(f"cloud: {reply.status} for a deletion")
@@ -157,19 +157,19 @@
         reply = await self._call(
             "POST",
             "/hosts/delete",
-            msgspec.json.encode(cloud_messages.Names(names)),
+            msgspec.json.encode(cloud_messages.MachineNames(names)),
             True,
             lambda: self.may_delete_unfenced(names),
         )
         if reply.status != 200:
             raise CloudError(f"cloud: {reply.status} for a deletion")
 
-    async def list(self) -> list[cloud_messages.Listed]:
+    async def list(self) -> list[cloud_messages.ListedMachine]:
         """All machines, read page by page; the result may be as old as the cloud's list lag. Raises CloudError."""
-        machines: list[cloud_messages.Listed] = []
+        machines: list[cloud_messages.ListedMachine] = []
         after = ""
         while True:
-            path = f"/hosts?limit={constants.LIST_PAGE}" + (f"&after={after}" if after else "")
+            path = f"/hosts?limit={constants.MACHINE_LIST_PAGE_MAX}" + (f"&after={after}" if after else "")
             reply = self._decode(_listing_decoder, await self._call("GET", path))
             machines += reply.machines
             if not reply.more or not reply.machines:
--- a/winglift/cloud/inventory.py
+++ b/winglift/cloud/inventory.py
@@ -69,13 +69,15 @@
         pool = (rental.type, rental.zone, rental.spot)
         unsent = self._unsent.get(pool)
         if unsent is not None and unsent.request is not None:
-            unsent.request = replace(unsent.request, count=min(unsent.request.count + rental.count, constants.RENT_MAX))
+            unsent.request = replace(
+                unsent.request, count=min(unsent.request.count + rental.count, constants.MACHINES_PER_RENTAL_MAX)
+            )
             return
         self._last_rental_number += 1
         # The name contains the term, which no other node ever has, so that no name is reused (invariant 6).
         name = f"t{self.cluster.term}-{self._last_rental_number}"
-        request = cloud_messages.Rent(
-            name, rental.type, rental.zone, rental.spot, min(rental.count, constants.RENT_MAX)
+        request = cloud_messages.RentRequest(
+            name, rental.type, rental.zone, rental.spot, min(rental.count, constants.MACHINES_PER_RENTAL_MAX)
         )
         self.pending_rentals[name] = self._unsent[pool] = ExternalOperation(name, monotonic_time(), request)
         if self._sender is None or self._sender.done():
@@ -85,12 +87,12 @@
     async def _send(self) -> None:
         """Send the unsent rentals, the largest first, one whenever the call budget allows it."""
         while self._unsent:
-            await self.cloud.turn()
+            await self.cloud.wait_for_budget()
             if not self._withdraw_refused():
                 continue
             pool = max(self._unsent, key=lambda candidate: _count(self._unsent[candidate]))
             # The request does not change from here on: a name always stands for the same request.
-            operation = self.intent_log.intend(self._unsent.pop(pool))
+            operation = self.intent_log.add_intent(self._unsent.pop(pool))
             try:
                 # Recorded under the fence before it is sent: the next leader repeats it under the same name, and rents
                 # nothing twice.
@@ -117,7 +119,7 @@
         """Record that a pool has no capacity: it is requested again later, with exponential backoff."""
         refusals = self._refusals_in_a_row[pool] = self._refusals_in_a_row.get(pool, 0) + 1
         self.capacity_refusals[pool] = now + min(
-            constants.NO_CAPACITY_PAUSE_S * 2 ** (refusals - 1), constants.NO_CAPACITY_PAUSE_MAX_S
+            constants.CAPACITY_REFUSAL_BACKOFF_S * 2 ** (refusals - 1), constants.CAPACITY_REFUSAL_BACKOFF_MAX_S
         )
 
     def _clear_refusal(self, machine: Machine) -> None:
@@ -138,7 +140,9 @@
             self.pending_rentals.pop(request.request, None)
             self.cluster.changed = True
 
-    async def _request_machines(self, operation: ExternalOperation, request: cloud_messages.Rent) -> list[str] | None:
+    async def _request_machines(
+        self, operation: ExternalOperation, request: cloud_messages.RentRequest
+    ) -> list[str] | None:
         """Send a rental until it is answered; return the machines' names, or None if the cloud has no capacity."""
         while True:
             try:
@@ -158,9 +162,9 @@
             except CloudError as err:
                 # Retried under the same name: if it was executed, the answer is the same and nothing more is rented.
                 log.info("rental: request failed: name=%s error=%s", request.request, err)
-                await asyncio.sleep(constants.CLOUD_PAUSE_S)
+                await asyncio.sleep(constants.CLOUD_RETRY_DELAY_S)
 
-    def _on_rented(self, operation: ExternalOperation, request: cloud_messages.Rent, names: list[str]) -> None:
+    def _on_rented(self, operation: ExternalOperation, request: cloud_messages.RentRequest, names: list[str]) -> None:
         now = monotonic_time()
         if len(names) < request.count:
             self._note_refusal(_pool(request), now)
@@ -228,7 +232,7 @@
         """Delete a machine. Nothing is placed on it from now on, whether the call succeeds or not."""
         if machine.state is MachineState.DELETING or machine.name in self._to_delete:
             return
-        operation = self.intent_log.intend(ExternalOperation(machine.name, monotonic_time()))
+        operation = self.intent_log.add_intent(ExternalOperation(machine.name, monotonic_time()))
         # The failover logs deletions begun by an earlier term in one line: most of these machines are gone already.
         log.log(
             logging.DEBUG if operation.inherited and not machine.tasks else logging.INFO,
@@ -250,10 +254,13 @@
             # Machines that hold cancelled tasks go first, in a request of their own: a leader whose lease is in doubt
             # may still delete them.
             urgent = [name for name, machine in self._to_delete.items() if holds_cancelled_task(machine)]
-            batch = {name: self._to_delete[name] for name in (urgent or list(self._to_delete))[: constants.DELETE_MAX]}
+            batch = {
+                name: self._to_delete[name]
+                for name in (urgent or list(self._to_delete))[: constants.MACHINES_PER_DELETION_MAX]
+            }
             operations = [self.intent_log.deletions[name] for name in batch]
             try:
-                async with asyncio.timeout(constants.DELETE_RECORD_S):
+                async with asyncio.timeout(constants.DELETION_RECORD_TIMEOUT_S):
                     await self.intent_log.persist(operations)
             except TimeoutError:
                 # A deletion that a committed cancellation requires is recorded in the job: it needs no intent log.
@@ -268,7 +275,7 @@
             except CloudError as err:
                 # A deletion without an answer may have been executed: the machines stay out of use, and it is retried.
                 log.info("deletion: request failed: error=%s", err)
-                await asyncio.sleep(constants.CLOUD_PAUSE_S)
+                await asyncio.sleep(constants.CLOUD_RETRY_DELAY_S)
                 continue
             self._on_deleted(batch, operations)
 
@@ -284,7 +291,7 @@
     # -- reconciliation ------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Reconcile with the cloud's list every `LIST_EVERY_S`."""
+        """Reconcile with the cloud's list every `MACHINE_LIST_INTERVAL_S`."""
         while True:
             try:
                 requested_at = monotonic_time()
@@ -293,9 +300,9 @@
                 self.has_listed = True
             except CloudError as err:
                 log.info("machine list: request failed: error=%s", err)
-            await asyncio.sleep(constants.LIST_EVERY_S)
+            await asyncio.sleep(constants.MACHINE_LIST_INTERVAL_S)
 
-    def reconcile(self, listed: list[cloud_messages.Listed], now: float, requested_at: float) -> None:
+    def reconcile(self, listed: list[cloud_messages.ListedMachine], now: float, requested_at: float) -> None:
         """Reconcile with a list requested at `requested_at` (monotonic), which may be older by twice the list lag."""
         self._delete_unlisted({entry.name for entry in listed}, requested_at)
         for entry in listed:
@@ -319,7 +326,7 @@
                 # It was rented so long ago that it must be listed if it exists: it was reclaimed while booting.
                 self.delete(machine, "no longer listed")
 
-    def _reconcile_entry(self, entry: cloud_messages.Listed, now: float) -> None:
+    def _reconcile_entry(self, entry: cloud_messages.ListedMachine, now: float) -> None:
         known = entry.name in self.cluster.machines
         machine = self.cluster.register_machine(entry.name, entry.type, entry.zone, entry.spot, now, entry.age_s)
         if not known:
@@ -339,11 +346,11 @@
     return operation.request.count if operation.request is not None else 0
 
 
-def _pool(request: cloud_messages.Rent) -> MachinePool:
+def _pool(request: cloud_messages.RentRequest) -> MachinePool:
     return request.type, request.zone, request.spot
 
 
-def _kind(request: cloud_messages.Rent) -> str:
+def _kind(request: cloud_messages.RentRequest) -> str:
     return "spot" if request.spot else "ordinary"
 
 
--- a/winglift/config/script.py
+++ b/winglift/config/script.py
@@ -21,9 +21,9 @@
 # Settings that a script may replace: name -> (default, minimum, maximum).
 NUMBERS: dict[str, tuple[float, float, float]] = {
     "idle_keep_s": (constants.IDLE_KEEP_S, 0.0, 3600.0),
-    "slack_pad": (constants.SLACK_PAD, 1.0, 10.0),
+    "slack_pad": (constants.SLACK_PADDING_RATIO, 1.0, 10.0),
     "reserve_deviations": (constants.WARM_POOL_DEVIATIONS, 0.0, 10.0),
-    "move_loss_share": (constants.MIGRATION_LOSS_SHARE, 1e-6, 0.1),
+    "move_loss_share": (constants.MIGRATION_DOWNTIME_SHARE, 1e-6, 0.1),
 }
 HOOKS = {
     "reserve": "reserve(class, proposed) -> number of tasks to keep room for",
@@ -73,7 +73,7 @@
         """The value of a setting: the script's, or its default."""
         return self.numbers[name]
 
-    def ask(self, name: str, default: float, *args: str | float) -> float:
+    def call_hook(self, name: str, default: float, *args: str | float) -> float:
         """Call a hook and return its result, or `default` if there is no such hook.
 
         A hook that fails or returns no usable number is disabled, and the default is returned.
@@ -86,7 +86,7 @@
         # Includes MemoryError and errors of lupa: a script must never stop the scheduling cycle.
         except Exception as err:  # noqa: BLE001
             succeeded, value = False, str(err)
-        if succeeded and _is_finite_number(value) and 0 <= value <= constants.MAX_AMOUNT:
+        if succeeded and _is_finite_number(value) and 0 <= value <= constants.AMOUNT_MAX:
             return float(value)
         log.error(
             "operator script: hook disabled: hook=%s error=%s", name, value if not succeeded else f"returned {value!r}"
@@ -114,7 +114,7 @@
         register_eval=False,
         register_builtins=False,
         unpack_returned_tuples=True,
-        max_memory=constants.SCRIPT_MEMORY,
+        max_memory=constants.SCRIPT_MEMORY_MAX_BYTES,
         attribute_filter=_no_attributes,
     )
     try:
@@ -122,8 +122,8 @@
         call_limited = lua.execute(f"""
             local sethook, pcall, error = debug.sethook, pcall, error
             return function(f, ...)
-                sethook(function() error("ran longer than {constants.SCRIPT_INSTRUCTIONS} instructions", 0) end,
-                        "", {constants.SCRIPT_INSTRUCTIONS})
+                sethook(function() error("ran longer than {constants.SCRIPT_INSTRUCTIONS_MAX} instructions", 0) end,
+                        "", {constants.SCRIPT_INSTRUCTIONS_MAX})
                 local good, value = pcall(f, ...)
                 sethook()
                 return good, value
--- a/winglift/workers/cancellation_enforcement.py
+++ b/winglift/workers/cancellation_enforcement.py
@@ -53,13 +53,13 @@
     def known_term(self) -> int:
         """The highest term that this node knows of."""
 
-    def leader_by_record(self) -> str:
+    def recorded_leader_name(self) -> str:
         """The leader named in the state service's record, as this node last read it; empty if there is none."""
 
     def handles_cancellation(self, ref: str) -> bool:
         """Whether this node leads, is entitled to act, and has the cancellation in its cluster state."""
 
-    def has_cleared_job(self, ref: str) -> bool:
+    def has_stopped_all_tasks(self, ref: str) -> bool:
         """Whether this node, as a leader that is entitled to act, has proof that all tasks of the job have ended."""
 
     def on_machines_deleted(self, machines: list[str]) -> None:
@@ -88,7 +88,9 @@
         params = node.settings.settings
         cancel_s = params.workers.cancel_s
         self.cancellations = CancellationRegistry(
-            params.skew_ms / 1000, cancel_s, int(params.state.write_rps * cancel_s * constants.CANCELLATION_KEPT_SHARE)
+            params.skew_ms / 1000,
+            cancel_s,
+            int(params.state.write_rps * cancel_s * constants.CANCELLATION_HISTORY_RATIO),
         )
         self.contacts: dict[str, MachineContact] = {}
         self._stops_in_flight: dict[str, asyncio.Task] = {}
@@ -127,7 +129,7 @@
             if ref:
                 self.cancellations.clear_machine(ref, machine, now, proven_by_peer=True)
             else:
-                self.cancellations.machine_deleted(machine, now, proven_by_peer=True)
+                self.cancellations.on_machine_deleted(machine, now, proven_by_peer=True)
         deleted = [machine for ref, machine in proofs if not ref]
         if deleted:
             self.node.on_machines_deleted(deleted)
@@ -140,18 +142,18 @@
             commanded_at = contact.commanded_at if contact is not None else -math.inf
             self.contacts[report.machine] = MachineContact(report.addr, report.session, now, commanded_at)
         if now >= self._next_contact_sweep_at:
-            self._next_contact_sweep_at = now + constants.CONTACT_KEPT_S / 4
+            self._next_contact_sweep_at = now + constants.MACHINE_ADDRESS_TTL_S / 4
             self.contacts = {
                 name: contact
                 for name, contact in self.contacts.items()
-                if now - contact.reported_at < constants.CONTACT_KEPT_S
+                if now - contact.reported_at < constants.MACHINE_ADDRESS_TTL_S
             }
         return self.cancellations.on_report(report, now)
 
     # -- enforcement ---------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Check the cancellations every `CANCELLATION_CHECK_S`, for as long as this node runs."""
+        """Check the cancellations every `CANCELLATION_CHECK_INTERVAL_S`, for as long as this node runs."""
         while True:
             if not self.cancellations.by_job:
                 self._cancellation_added.clear()
@@ -161,7 +163,7 @@
             except Exception:
                 # An error with one cancellation must not keep the others from being enforced.
                 log.exception("cancellations: fault in enforcing them")
-            await asyncio.sleep(constants.CANCELLATION_CHECK_S)
+            await asyncio.sleep(constants.CANCELLATION_CHECK_INTERVAL_S)
 
     async def _enforce(self, now: float, wall: float) -> None:
         for cancellation in list(self.cancellations.by_job.values()):
@@ -170,7 +172,7 @@
         self._send_stops(now)
         machines = self._machines_to_delete(now, wall)
         if machines and (self._delete_task is None or self._delete_task.done()):
-            self._delete_task = asyncio.ensure_future(self._delete(machines[: constants.DELETE_MAX]))
+            self._delete_task = asyncio.ensure_future(self._delete(machines[: constants.MACHINES_PER_DELETION_MAX]))
         proofs, self.cancellations.unsent_proofs = self.cancellations.unsent_proofs, []
         self.node.peers.announce_proofs(proofs)
         self.cancellations.prune(now)
@@ -178,7 +180,7 @@
 
     def _announce_or_clear(self, cancellation: Cancellation, now: float) -> None:
         self._announce(cancellation, now)
-        if self.node.has_cleared_job(cancellation.ref):
+        if self.node.has_stopped_all_tasks(cancellation.ref):
             self.cancellations.clear_job(cancellation.ref, now)
         elif self._is_delegated(cancellation, now):
             cancellation.move(CancellationEvent.DELEGATE, now)
@@ -195,10 +197,10 @@
                 and cancellation.notified.get(name) == math.inf
             )
             if leader_has_to_take_over or cancellation.notified.get(name, -math.inf) <= now:
-                cancellation.notified[name] = now + constants.CANCELLATION_NOTIFY_S
+                cancellation.notified[name] = now + constants.CANCELLATION_NOTIFY_INTERVAL_S
                 self.node.peers.announce_record(
                     peer,
-                    peer_messages.JobNote(cancellation.version, cancellation.ref, cancellation.record),
+                    peer_messages.RecordAnnouncement(cancellation.version, cancellation.ref, cancellation.record),
                     lambda answer, peer=peer: self._on_announced(cancellation, peer, answer),  # type: ignore[misc]
                 )
 
@@ -223,14 +225,14 @@
         leader = self.node.peers.leader(now)
         if leader is not None and cancellation.delegated_to == _leader_and_term(leader):
             return True
-        recorded_leader = self.node.leader_by_record()
+        recorded_leader = self.node.recorded_leader_name()
         return self.node.state.health() is Health.GOOD and recorded_leader not in ("", self.node.settings.node)
 
     def _send_stops(self, now: float) -> None:
         """Send stop commands to the machines of outstanding cancellations.
 
         A machine gets them at once. Once an answer can count as a proof, it gets them again every
-        `CANCELLATION_PROBE_S` until its answer is one.
+        `CANCELLATION_PROBE_INTERVAL_S` until its answer is one.
         """
         for cancellation in self.cancellations.outstanding():
             settled = cancellation.min_age_s(now) >= self.cancellations.settle_s
@@ -240,9 +242,9 @@
                     self._fetch_addresses(now)
                 elif machine not in self._stops_in_flight and (
                     contact.commanded_at < cancellation.state_since
-                    or (settled and now - contact.commanded_at > constants.CANCELLATION_PROBE_S)
+                    or (settled and now - contact.commanded_at > constants.CANCELLATION_PROBE_INTERVAL_S)
                 ):
-                    if len(self._stops_in_flight) >= constants.PROBES_AT_ONCE:
+                    if len(self._stops_in_flight) >= constants.CONCURRENT_PROBES_MAX:
                         return
                     contact.commanded_at = now
                     self._stops_in_flight[machine] = asyncio.ensure_future(self._stop_tasks(machine, contact))
@@ -254,7 +256,7 @@
         """
         if now < self._next_list_at or (self._list_task is not None and not self._list_task.done()):
             return
-        self._next_list_at = now + constants.CANCELLATION_LIST_S
+        self._next_list_at = now + constants.CANCELLATION_LIST_INTERVAL_S
         self._list_task = asyncio.ensure_future(self._list_addresses())
 
     async def _list_addresses(self) -> None:
@@ -270,7 +272,7 @@
         try:
             stop_commands = [
                 stop
-                for cancellation in self.cancellations.on_machine(machine)
+                for cancellation in self.cancellations.for_machine(machine)
                 for stop in cancellation.stop_commands[machine]
             ]
             # The worker rejects commands with an outdated session or term: they are sent once more, with those of its
@@ -303,7 +305,7 @@
         own_name, peers = self.node.settings.node, self.node.peers.by_node.items()
         rank = sum(name < own_name and peer.fresh(now) for name, peer in peers)
         return self.cancellations.machines_to_delete(
-            now, wall, rank, constants.CANCEL_HEAR_REPORTS * self.node.settings.settings.workers.report_s
+            now, wall, rank, constants.CANCELLATION_REPORT_WAIT_RATIO * self.node.settings.settings.workers.report_s
         )
 
     def may_delete(self, names: list[str]) -> bool:
@@ -319,18 +321,18 @@
         except CloudError as err:
             # A deletion without an answer may have been executed, but that is no proof: it is retried.
             log.info("deletion: request failed: error=%s", err)
-            await asyncio.sleep(constants.CLOUD_PAUSE_S)
+            await asyncio.sleep(constants.CLOUD_RETRY_DELAY_S)
             return
         now = monotonic_time()
         for name in names:
-            self.cancellations.machine_deleted(name, now)
+            self.cancellations.on_machine_deleted(name, now)
         self.node.on_machines_deleted(names)
 
     async def _reread(self, now: float, wall: float) -> None:
         """Reread the record of a cancellation delegated long ago: the leader removes proven assignments from it."""
         if now < self._next_reread_at or self.node.state.health() is not Health.GOOD:
             return
-        after_s = self.cancellations.cancel_s * constants.CANCELLATION_REREAD_SHARE
+        after_s = self.cancellations.cancel_s * constants.CANCELLATION_REREAD_AGE_RATIO
         cancellation = next(
             (
                 candidate
@@ -342,7 +344,7 @@
         )
         if cancellation is None:
             return
-        self._next_reread_at = now + constants.CANCELLATION_REREAD_S
+        self._next_reread_at = now + constants.CANCELLATION_REREAD_INTERVAL_S
         try:
             item = await self.node.state.get(records.JOB_PREFIX + cancellation.ref)
             if item is not None:
--- a/winglift/workers/commands.py
+++ b/winglift/workers/commands.py
@@ -21,7 +21,7 @@
 from ..net.client import Unanswered
 from ..net.runtime import current_runtime, monotonic_time
 from ..wire import workers as worker_messages
-from ..wire.users import Invalid
+from ..wire.users import InvalidMessage
 
 log = logging.getLogger(__name__)
 
@@ -39,11 +39,11 @@
     try:
         reply = (
             await current_runtime()
-            .client(host, int(port), most=0)
+            .client(host, int(port), max_idle=0)
             .request("POST", "/commands", body, constants.COMMAND_TIMEOUT_S)
         )
         return worker_messages.parse_report(reply.body) if reply.status in (200, 409) else None
-    except (Unanswered, Invalid) as err:
+    except (Unanswered, InvalidMessage) as err:
         log.debug("direct command: no valid answer: addr=%s error=%s", addr, err)
         return None
 
@@ -87,13 +87,13 @@
         tasks = self._queued_tasks.pop(machine.name, [])
         if not machine.addr or not machine.session:
             return
-        if not self.leadership.entitled(monotonic_time()):
+        if not self.leadership.has_valid_lease(monotonic_time()):
             if not self._may_only_enforce_cancellations():
                 return
             tasks = [task for task in tasks if task.job.state is JobState.CANCELLED]
         states = PRESENT | {TaskState.SENT, TaskState.UNKNOWN}
         commands = [
-            worker_messages.halt(task.name, task.attempt, task.stop_grace_s or 0)
+            worker_messages.halt_command(task.name, task.attempt, task.stop_grace_s or 0)
             for task in tasks
             if task.state in states
         ]
--- a/winglift/workers/partition_detector.py
+++ b/winglift/workers/partition_detector.py
@@ -6,7 +6,7 @@
 If the whole zone is partitioned, this node's answers keep the zone's workers alive, and no other node could do so. If
 only this node is partitioned, its answers keep workers from switching to other nodes, and the next leader gets no
 report of them for as long as that lasts. Only the workers can tell the two cases apart, so a few of them, the scouts
-(at most `PARTITION_SCOUTS`), are redirected. A scout that reports here again within the time that it takes to try all
+(at most `PARTITION_PROBE_WORKERS_MAX`), are redirected. A scout that reports here again within the time that it takes to try all
 nodes has found no other node. If no scout comes back, the other workers are redirected too. A worker is redirected only
 if it was served just before, so that its lease outlasts the search, also if it is redirected back and forth between two
 partitioned nodes.
@@ -68,7 +68,9 @@
         self.state = PartitionState.CONNECTED
         self.since = 0.0
         # A worker that tries all other nodes without success reports here again within this time.
-        self._node_round_s = nodes * constants.WORKER_TRY_S + constants.REPORT_LATEST * report_s + 1.0
+        self._node_round_s = (
+            nodes * constants.WORKER_NODE_TIMEOUT_S + constants.REPORT_INTERVAL_MAX_RATIO * report_s + 1.0
+        )
         self._lease_s = lease_s
         self._report_s = report_s
         self._nodes = nodes
@@ -95,10 +97,12 @@
         self.move(PartitionEvent.CONTACT_LOST, now)
         if self.state is PartitionState.SCOUTING and now - self.since > self._node_round_s:
             self.move(PartitionEvent.NONE_BACK, now)
-        elif self.state is PartitionState.PARTITIONED and now - self.since > constants.PARTITION_SCOUT_INTERVAL_S:
+        elif self.state is PartitionState.PARTITIONED and now - self.since > constants.PARTITION_PROBE_INTERVAL_S:
             self.move(PartitionEvent.SCOUT_AGAIN, now)
 
-    def redirects(self, worker: str, sequence: ReportSequence, idle: bool, has_newer_token: bool, now: float) -> bool:
+    def should_redirect(
+        self, worker: str, sequence: ReportSequence, idle: bool, has_newer_token: bool, now: float
+    ) -> bool:
         """Whether this worker is to be redirected.
 
         `sequence`: that of its report, which may be a delayed copy; `has_newer_token`: the report's token is higher
@@ -132,17 +136,17 @@
         there are none, a worker goes that may lose its tasks: if the zone is partitioned, that costs the tasks of one
         machine; if it is not, sending no scout would cost half the fleet.
         """
-        if len(self._scouts) >= constants.PARTITION_SCOUTS:
+        if len(self._scouts) >= constants.PARTITION_PROBE_WORKERS_MAX:
             return False
         if self.state is PartitionState.SCOUTING:
             return preferred
-        waited = now - self.since - constants.ISOLATED_AFTER_S
+        waited = now - self.since - constants.ISOLATION_TIMEOUT_S
         if waited <= 0:
             return False
         lease_outlives_round = self._lease_s > self._node_round_s + constants.CLOCK_DRIFT * self._lease_s
         return preferred or (lease_outlives_round and waited > 2 * self._report_s) or waited > self._lease_s / 2
 
-    def served(self, worker: str, now: float) -> None:
+    def on_served(self, worker: str, now: float) -> None:
         """Record that a worker's report was answered with 200."""
         if self.state is not PartitionState.CONNECTED:
             self._served[worker] = now
--- a/winglift/workers/probes.py
+++ b/winglift/workers/probes.py
@@ -19,13 +19,13 @@
 from ..net.client import Unanswered
 from ..net.runtime import current_runtime, monotonic_time
 from ..wire import workers as worker_messages
-from ..wire.users import Invalid
+from ..wire.users import InvalidMessage
 
 log = logging.getLogger(__name__)
 
 
 class Prober:
-    """Probes machines for one leader term, at most `PROBES_AT_ONCE` at a time, and reconciles their reports."""
+    """Probes machines for one leader term, at most `CONCURRENT_PROBES_MAX` at a time, and reconciles their reports."""
 
     def __init__(self, cluster: ClusterState, leadership: Leadership) -> None:
         """Probe for the leader with this `leadership`; reports are reconciled only while it is entitled to act."""
@@ -39,7 +39,7 @@
         `controls`: per zone a machine that has just reported, which is probed for comparison.
         """
         for machine in machines:
-            if len(self._probes) >= constants.PROBES_AT_ONCE:
+            if len(self._probes) >= constants.CONCURRENT_PROBES_MAX:
                 return
             # An unresponsive machine is its own control, so that it is probed even if every machine is unresponsive.
             # Only an answer counts then.
@@ -71,7 +71,7 @@
             if (
                 not answered
                 and control_answered
-                and monotonic_time() - sent_at < constants.PROBE_TIMEOUT_S + constants.NODE_PAUSE_S
+                and monotonic_time() - sent_at < constants.PROBE_TIMEOUT_S + constants.PROCESS_PAUSE_MIN_S
             ):
                 machine.probe_failed_at = sent_at
                 self.cluster.changed = True
@@ -84,15 +84,15 @@
         try:
             reply = (
                 await current_runtime()
-                .client(host, int(port), most=0)
+                .client(host, int(port), max_idle=0)
                 .request("GET", "/show", None, constants.PROBE_TIMEOUT_S)
             )
             if reply.status == 200:
-                if self.leadership.entitled(monotonic_time()):
+                if self.leadership.has_valid_lease(monotonic_time()):
                     reconcile_report(
                         self.cluster, worker_messages.parse_report(reply.body), monotonic_time(), direct=True
                     )
                 return True
-        except (Unanswered, Invalid) as err:
+        except (Unanswered, InvalidMessage) as err:
             log.debug("probe: no valid answer: machine=%s error=%s", machine.name, err)
         return False
--- a/winglift/workers/reports.py
+++ b/winglift/workers/reports.py
@@ -25,7 +25,7 @@
 from ..config.settings import Settings
 from ..net.runtime import monotonic_time
 from ..wire import workers as worker_messages
-from ..wire.users import Invalid
+from ..wire.users import InvalidMessage
 from .cancellation_enforcement import CancellationEnforcer
 from .partition_detector import PartitionDetector
 
@@ -69,10 +69,10 @@
     def cancellation_enforcer(self) -> CancellationEnforcer:
         """The enforcer that adds stop commands for cancelled tasks to answers."""
 
-    def hears_others(self) -> bool:
+    def can_reach_others(self) -> bool:
         """Whether this node can reach the state service or any other node."""
 
-    def leader_elsewhere(self) -> str | None:
+    def unreachable_leader_name(self) -> str | None:
         """The node that leads and that this one can't forward reports to, if there is one."""
 
     def known_term(self) -> int:
@@ -111,16 +111,16 @@
         """
         try:
             report = worker_messages.parse_report(body)
-        except Invalid as err:
+        except InvalidMessage as err:
             log.warning("report: malformed: error=%s", err)
             return 400, msgspec.json.encode({"error": str(err)})
         now = monotonic_time()
         leader_term = self.node.leader_term
         self.last_report_at = now
-        unreachable_leader = self.node.leader_elsewhere()
-        self.partition_detector.update(unreachable_leader is None and self.node.hears_others(), now)
+        unreachable_leader = self.node.unreachable_leader_name()
+        self.partition_detector.update(unreachable_leader is None and self.node.can_reach_others(), now)
         has_newer_token = report.token > self.node.known_term()
-        if self.partition_detector.redirects(
+        if self.partition_detector.should_redirect(
             report.machine, (report.session, report.seq), not report.tasks, has_newer_token, now
         ):
             return 421, msgspec.json.encode(
@@ -186,7 +186,7 @@
         """Answer a report forwarded by another node: 503 if this node does not lead, 400 if the report is malformed."""
         try:
             answer = self._answer_as_leader(worker_messages.parse_report(body))
-        except Invalid as err:
+        except InvalidMessage as err:
             return 400, msgspec.json.encode({"error": str(err)})
         return answer or (503, msgspec.json.encode({"error": "does not lead"}))
 
@@ -206,11 +206,11 @@
     def _redirect_target(self, machine: str, home: str, now: float) -> str | None:
         """The node to redirect the worker to: its home node, or None if it is served here.
 
-        It is served here first, and for `FORWARD_STICKY_S` after it has come back from its home node.
+        It is served here first, and for `FORWARDING_MIN_S` after it has come back from its home node.
         """
         contact = self._contact(machine, now)
-        if now - contact.redirected_at < constants.REDIRECT_MEMORY_S:
-            contact.serve_until = now + constants.FORWARD_STICKY_S
+        if now - contact.redirected_at < constants.REDIRECT_RETURN_WINDOW_S:
+            contact.serve_until = now + constants.FORWARDING_MIN_S
             contact.redirected_at = -math.inf
             contact.was_served = False
         if not contact.was_served or now < contact.serve_until:
@@ -221,10 +221,10 @@
         return home
 
     def _contact(self, machine: str, now: float) -> WorkerContact:
-        """The contact of a machine that belongs to another node, kept for `CONTACT_MEMORY_S` after its last report."""
+        """The contact of a machine that belongs to another node, kept for `WORKER_CONTACT_TTL_S` after its last report."""
         contact = self._contacts.get(machine)
-        if contact is None or now - contact.reported_at > constants.CONTACT_MEMORY_S:
-            if len(self._contacts) > constants.CONTACTS_MAX:
+        if contact is None or now - contact.reported_at > constants.WORKER_CONTACT_TTL_S:
+            if len(self._contacts) > constants.WORKER_CONTACTS_MAX:
                 self._contacts.clear()
             contact = self._contacts[machine] = WorkerContact()
         contact.reported_at = now
