--- a/winglift/workers/reports.py
+++ b/winglift/workers/reports.py
@@ -162,7 +162,7 @@
         if answer[0] == 200:
             if stops:
                 answer = 200, _with_stops(answer[1], stops)
-            self.partition_detector.served(report.machine, monotonic_time())
+            self.partition_detector.on_served(report.machine, monotonic_time())
             if belongs_elsewhere:
                 self._contact(report.machine, monotonic_time()).was_served = True
         return answer
