--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -106,10 +106,8 @@
 
 @pytest.mark.parametrize("late_s", [0.0, 2.0, 12.0, 60.0])
 def test_the_settle_time_of_a_late_cancellation_begins_when_the_node_learns_of_it(late_s):
-    """`cancelled_at` is read before the transaction is sent, and a leader may send starts until it is executed.
-
-    An answer to a probe sent soon after that proves nothing.
-    """
+    """`cancelled_at` is read before the transaction is sent, and a leader may send starts until it is executed: an
+    answer to a probe sent soon after that proves nothing."""
     registry, now = make_registry(), 100.0
     cancellation = registry.add_record("wk-1", 5, record({"vm-000001": "0"}, at=now - late_s), now)
     assert cancellation is not None
@@ -242,24 +240,22 @@
     scene = begun(run_s=500.0)
     scene.submit("wk-1", pieces=4)
     scene.loop.run(20.0)
-    previous_version_node = next(n for n in scene.nodes if n != scene.leader())
+    old_node = next(n for n in scene.nodes if n != scene.leader())
     announced: list[int] = []
     for name, (_, node) in scene.nodes.items():
-        if name != previous_version_node:
+        if name != old_node:
 
             def ask(peer, kind, body, done, node=node, original=node.peers._ask):
-                if kind is peer_messages.FrameType.JOB_RECORD and peer.seed.node == previous_version_node:
+                if kind is peer_messages.FrameType.JOB_RECORD and peer.seed.node == old_node:
                     announced.append(1)
                     original(peer, kind, body, lambda answer: done(None))
                 else:
                     original(peer, kind, body, done)
 
             node.peers._ask = ask
-            peer = node.peers.by_node[previous_version_node]
+            peer = node.peers.by_node[old_node]
             monkeypatch.setattr(
-                type(peer),
-                "acknowledges_records",
-                property(lambda p: p.seed.node != previous_version_node, lambda p, value: None),
+                type(peer), "acknowledges_records", property(lambda p: p.seed.node != old_node, lambda p, value: None)
             )
     scene.poll("wk-1", cancel=True)
     scene.loop.run(scene.loop.now + CANCEL_S + 5.0)
@@ -280,7 +276,7 @@
     scene.loop.run(scene.loop.now + 2 * CANCEL_S)
     assert "without the leader" not in caplog.text
     assert "for a cancelled task" not in caplog.text and "holds the cancelled" not in caplog.text
-    # No node keeps any of these cancellations.
+    # No node keeps any of these cancellations, and the followers have sent no commands to the machines.
     assert all(not node.cancellation_enforcer.cancellations.by_job for _, node in scene.nodes.values())
 
 
@@ -314,7 +310,7 @@
         apply_record(self.cluster, ref, version, record, now)
 
 
-def check_cancellation_during_a_write(late_answer: bool) -> None:
+def check_pending_write(late_answer: bool) -> None:
     """A write of the leader has no answer for 12 s; meanwhile the cancellation is announced to it."""
     scene = begun(run_s=500.0)
     scene.submit("wk-1", pieces=4)
@@ -322,18 +318,16 @@
     host, node = scene.nodes[scene.leader() or ""]
     assert node.leader_term is not None
     job = node.leader_term.cluster.jobs["wk-1"]
-    cancelled_record = records.decode(json.dumps(scene.state.keys["job/wk-1"][0]).encode())
-    cancelled_record.state, cancelled_record.cancelled_at = "c", scene.loop.now
+    cancelled = records.decode(json.dumps(scene.state.keys["job/wk-1"][0]).encode())
+    cancelled.state, cancelled.cancelled_at = "c", scene.loop.now
     job.write_in_flight = True
-    open_record = records.decode(records.encode(cancelled_record))
+    open_record = records.decode(records.encode(cancelled))
     open_record.state, open_record.cancelled_at = "o", None
     version = job.version + 2
     answers: list[int] = []
     scene.loop.call_soon(
         lambda: answers.append(
-            node._on_peer_job_record(
-                peer_messages.RecordAnnouncement(version, "wk-1", records.encode(cancelled_record))
-            )
+            node._on_peer_job_record(peer_messages.RecordAnnouncement(version, "wk-1", records.encode(cancelled)))
         ),
         context=host.context,
     )
@@ -347,7 +341,7 @@
 
 
 def test_a_cancellation_is_applied_while_a_write_of_the_job_is_unanswered():
-    check_cancellation_during_a_write(True)
+    check_pending_write(True)
 
 
 def without_settle_time(self, skew_s, cancel_s, capacity, original_init=CancellationRegistry.__init__):
@@ -386,12 +380,7 @@
         lambda self, now: None,
         lambda: gaps.test_machines_that_only_the_old_leader_has_heard_are_told_and_not_deleted(False),
     ),
-    "a cancellation is not put off": (
-        RecordWatcher,
-        "apply_record",
-        defer_record,
-        lambda: check_cancellation_during_a_write(False),
-    ),
+    "a cancellation is not put off": (RecordWatcher, "apply_record", defer_record, lambda: check_pending_write(False)),
 }
 
 
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -149,7 +149,7 @@
                 sent.append(path)
                 return Reply(400, b"{}")
 
-        monkeypatch.setattr("winglift.net.runtime.Client", Http)
+        monkeypatch.setattr("winglift.net.runtime.PoolingHttpClient", Http)
         leader_term, _ = leader(True, [("vm-1", "a", 999.5)])
         machine, cluster = leader_term.cluster.machines["vm-1"], leader_term.cluster
         machine.addr, machine.session = "127.0.0.1:1", 1
--- a/winglift/workers/partition_detector.py
+++ b/winglift/workers/partition_detector.py
@@ -6,10 +6,10 @@
 If the whole zone is partitioned, this node's answers keep the zone's workers alive, and no other node could do so. If
 only this node is partitioned, its answers keep workers from switching to other nodes, and the next leader gets no
 report of them for as long as that lasts. Only the workers can tell the two cases apart, so a few of them, the scouts
-(at most `PARTITION_PROBE_WORKERS_MAX`), are redirected. A scout that reports here again within the time that it takes to try all
-nodes has found no other node. If no scout comes back, the other workers are redirected too. A worker is redirected only
-if it was served just before, so that its lease outlasts the search, also if it is redirected back and forth between two
-partitioned nodes.
+(at most `PARTITION_PROBE_WORKERS_MAX`), are redirected. A scout that reports here again within the time that it takes
+to try all nodes has found no other node. If no scout comes back, the other workers are redirected too. A worker is
+redirected only if it was served just before, so that its lease outlasts the search, also if it is redirected back and
+forth between two partitioned nodes.
 """
 
 from __future__ import annotations
--- a/winglift/workers/reports.py
+++ b/winglift/workers/reports.py
@@ -221,7 +221,7 @@
         return home
 
     def _contact(self, machine: str, now: float) -> WorkerContact:
-        """The contact of a machine that belongs to another node, kept for `WORKER_CONTACT_TTL_S` after its last report."""
+        """The contact of a machine of another node, kept for `WORKER_CONTACT_TTL_S` after its last report."""
         contact = self._contacts.get(machine)
         if contact is None or now - contact.reported_at > constants.WORKER_CONTACT_TTL_S:
             if len(self._contacts) > constants.WORKER_CONTACTS_MAX:
