--- a/winglift/api/jobs.py
+++ b/winglift/api/jobs.py
@@ -143,7 +143,7 @@
             return 200, known
         record = records.new_record(spec, wall_time())
         if len(encode(record)) > self.settings.settings.state.value_kb * 1024 * constants.NEW_RECORD_SIZE_SHARE:
-            raise Unschedulable("the job description is too large to store")
+            raise Unschedulable("the description is too long to be kept")
         return await self._commit_new(spec.ref, record)
 
     async def _check_feasible(self, spec: Submission) -> StatusReply | None:
@@ -186,14 +186,14 @@
         if isinstance(result, state_messages.Conflict):
             known = await self.status(ref)
             if known is None:
-                raise TemporarilyUnavailable("the state service gave contradictory answers")
+                raise TemporarilyUnavailable("the state service contradicts itself")
             return 200, known
         # Announced only after the commit (invariant 4: a job is acknowledged once its record is committed).
         self._read_cache.add_record(ref, result.revision, record)
         self._on_change(ref, result.revision, record)
         if monotonic_time() - sent_at > constants.SUBMIT_TIMEOUT_S + constants.REFRESH_MAX_AGE_S:
             # Another node may have accepted a copy of the request, and the job may even be finished: the user retries.
-            raise TemporarilyUnavailable("this node was paused")
+            raise TemporarilyUnavailable("this node stood still")
         return 201, StatusReply(ref, JobStatus.QUEUED)
 
     async def cancel(self, ref: str) -> StatusReply | None:
@@ -232,4 +232,4 @@
                 reply = status_of(record, ref)
                 self.cache_final_state(ref, reply)
                 return reply
-        raise TemporarilyUnavailable("the job changes too often at present")
+        raise TemporarilyUnavailable("the job changes too often just now")
--- a/winglift/cloud/inventory.py
+++ b/winglift/cloud/inventory.py
@@ -324,7 +324,7 @@
                 and machine.rented_at < rented_before
             ):
                 # It was rented so long ago that it must be listed if it exists: it was reclaimed while booting.
-                self.delete(machine, "no longer listed")
+                self.delete(machine, "not listed any more")
 
     def _reconcile_entry(self, entry: cloud_messages.ListedMachine, now: float) -> None:
         known = entry.name in self.cluster.machines
@@ -339,7 +339,7 @@
         if entry.addr and not machine.addr:
             machine.addr = entry.addr
         if entry.state == "failed":
-            self.delete(machine, "failed according to the cloud")
+            self.delete(machine, "failed on its own")
 
 
 def _count(operation: ExternalOperation) -> int:
