--- a/winglift/cli/trial.py
+++ b/winglift/cli/trial.py
@@ -52,7 +52,7 @@
 def trial(nodes: str, demo: bool) -> int:
     """Start stand-ins and controllers on loopback, and print their addresses. Machines are simulated."""
     try:
-        from standins import trial as local_services
+        from standins import local_services
     except ModuleNotFoundError:
         raise click.ClickException("the stand-ins are part of the repository: run this command in a checkout") from None
     with tempfile.TemporaryDirectory(prefix="winglift-") as folder:
