--- a/tests/test_cwl.py
+++ b/tests/test_cwl.py
@@ -1,4 +1,4 @@
-"""CWL files of our own: what is refused, with its place; what runs, against a loopback daemon, with real files."""
+"""CWL files: invalid ones are rejected with file, line and reason; valid ones run on a loopback node."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def file(name: str, content: str) -> dict[str, Any]:
-    """A file as the results name it, without what follows from its name."""
+    """A File object as results contain it, without the fields that derive from its name."""
     data = content.encode()
     return {
         "class": "File",
@@ -30,7 +30,7 @@
     }
 
 
-# File, order, outputs. All of them run at once in one small world.
+# Document, order, expected outputs. All of them run at the same time in one deployment.
 RUNS: list[tuple[str, dict[str, Any], dict[str, Any]]] = [
     ("words", {"a": 4, "b": "x y", "c": True, "d": False}, {"line": "first --b=x y -a 4 -c given last\n"}),
     (
@@ -90,7 +90,7 @@
     ("value_from", {"n": 4, "f": TABLE}, {"out": "5x 3 lenses"}),
 ]
 
-REFUSED = [
+REJECTED = [
     ("bad_cycle", CwlError, r"bad_cycle\.cwl:6: .*a, b depend on one another in a circle"),
     ("bad_step", CwlError, r"bad_step\.cwl:7: a/x takes nobody/out: no step or input nobody"),
     ("bad_type", CwlError, r"bad_type\.cwl:7: a/x takes n: int is not string"),
@@ -105,11 +105,11 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "kind", "text"), REFUSED)
-def test_a_faulty_file_is_refused_with_file_line_and_reason(name, kind, text):
-    with pytest.raises(CwlError, match=text) as found:
+@pytest.mark.parametrize(("name", "kind", "text"), REJECTED)
+def test_an_invalid_document_is_rejected_with_file_line_and_reason(name, kind, text):
+    with pytest.raises(CwlError, match=text) as raised:
         check(str(CWL / f"{name}.cwl"), None)
-    assert type(found.value) is kind
+    assert type(raised.value) is kind
 
 
 @pytest.mark.parametrize(
@@ -118,26 +118,26 @@
         ("n: many\nf: {class: File, path: table.txt}\n", r"order\.yml:1: n: expected int"),
         ("n: 1\nf: {class: File, path: nowhere.txt}\n", r"order\.yml:2: .*nowhere\.txt: No such file"),
         ("n: 1\n", r"order\.yml: no value for f, File"),
-        ("n: 1\nf: {class: File, path: https://elsewhere.example/t}\n", r"order\.yml:2: .*lies elsewhere"),
+        ("n: 1\nf: {class: File, path: https://elsewhere.example/t}\n", r"order\.yml:2: .*not a local file"),
         ("n: 1\nm: 2\nf: {class: File, contents: x}\n", r"order\.yml:2: no such input m"),
         ("n: [1\n", r"order\.yml:\d: not YAML"),
     ],
 )
-def test_a_faulty_order_is_refused_with_file_line_and_reason(tmp_path, order, text):
+def test_an_invalid_order_is_rejected_with_file_line_and_reason(tmp_path, order, text):
     path = tmp_path / "order.yml"
     path.write_text(order)
     with pytest.raises(CwlError, match=text):
         check(str(CWL / "value_from.cwl"), str(path))
 
 
-def bare(value: Any) -> Any:
-    """Results without what follows from a file's name."""
+def without_name_parts(value: Any) -> Any:
+    """A result without the fields that derive from a file's name."""
     if isinstance(value, dict):
-        return {k: bare(v) for k, v in value.items() if k not in ("nameroot", "nameext")}
-    return [bare(v) for v in value] if isinstance(value, list) else value
+        return {k: without_name_parts(v) for k, v in value.items() if k not in ("nameroot", "nameext")}
+    return [without_name_parts(v) for v in value] if isinstance(value, list) else value
 
 
-def test_each_file_gives_its_outputs_on_a_loopback_daemon(tmp_path):
+def test_each_document_yields_its_outputs_on_a_loopback_node(tmp_path):
     async def scenario() -> None:
         async with flow_world(tmp_path) as w:
             refs = []
@@ -145,9 +145,9 @@
                 path = tmp_path / f"{number}.yml"
                 path.write_bytes(msgspec.json.encode(order))
                 refs.append(await w.submit(check(str(CWL / f"{name}.cwl"), str(path)), f"fl-{number}"))
-            found = await asyncio.gather(*(w.outputs(ref) for ref in refs))
-            for (name, order, wanted), made in zip(RUNS, found, strict=True):
-                assert bare(made) == wanted, (name, order)
+            results = await asyncio.gather(*(w.outputs(ref) for ref in refs))
+            for (name, order, expected), outputs in zip(RUNS, results, strict=True):
+                assert without_name_parts(outputs) == expected, (name, order)
             image = next(s for s in w.specs() if s["bundle"] == "optics/surface:3")
             assert (image["jobClass"], image["urgency"], image["loaner"], image["gpus"], image["expectedS"]) == (
                 "surfacing",
