--- a/tests/test_further_meetings.py
+++ b/tests/test_further_meetings.py
@@ -64,7 +64,7 @@
     async def known(self, ref):  # type: ignore[no-untyped-def]
         if ref not in self._known:
             item = await self.state.get("job/" + ref)
-            return None if item is None else self.note(ref, item.version, _decode(item.value))
+            return None if item is None else self.add_record(ref, item.version, _decode(item.value))
         return self._known[ref][1]
 
     from winglift.model.records import decode as _decode
