--- a/tests/meeting.py
+++ b/tests/meeting.py
@@ -11,9 +11,6 @@
 from functools import partial
 from typing import Any
 
-from standins.network import Cut, Delayed, Message, SentMessage
-from standins.simulation import JOB, Simulation
-
 from standins.history import (
     contradictions,
     tasks_waiting_below_quota,
@@ -21,6 +18,8 @@
     underserved_groups,
     wrongly_accepted,
 )
+from standins.network import Cut, Delayed, Message, SentMessage
+from standins.simulation import JOB, Simulation
 
 GPUS_MAX = 24.0  # quota of each team
 FIRST_FAULT_S, FAULT_SPREAD_S = 18.0, 45.0  # each fault begins FIRST_FAULT_S to FIRST_FAULT_S + FAULT_SPREAD_S later
--- a/tests/run_digests.py
+++ b/tests/run_digests.py
@@ -24,8 +24,8 @@
 
 import troubles as faults
 from meeting import GANG_JOB, Fault, FaultRun
-from standins.network import SentMessage
 
+from standins.network import SentMessage
 from winglift.net.runtime import monotonic_time
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_further_meetings.py
+++ b/tests/test_further_meetings.py
@@ -12,9 +12,10 @@
 
 import pytest
 from meeting import FaultRun
-from standins.network import Cut, Delayed, Message
 from troubles import FAULTS, FURTHER_FAULTS, close_looks, on_each_new_leader, send_to_all_nodes, small_jobs
 
+from standins.network import Cut, Delayed, Message
+
 PAIRS = list(itertools.combinations_with_replacement(FURTHER_FAULTS, 2)) + list(
     itertools.product(FURTHER_FAULTS, FAULTS)
 )
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -10,7 +10,6 @@
 
 import pytest
 from meeting import FaultRun
-from standins.simulation import CANCEL_S, JOB
 from troubles import FAULTS
 
 from standins.history import (
@@ -23,6 +22,7 @@
     unanswered_jobs,
     wrongly_accepted,
 )
+from standins.simulation import CANCEL_S, JOB
 
 PAIRS = list(itertools.combinations_with_replacement(FAULTS, 2))
 
--- a/tests/test_run_digests.py
+++ b/tests/test_run_digests.py
@@ -4,6 +4,7 @@
 
 import pytest
 from run_digests import CHECKPOINT_S, RUNS, Recorder, RunDigest, difference, load_expected, run_in_child
+
 from standins.network import SentMessage
 
 
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -13,9 +13,9 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
+
 from standins.network import Cut, Message
 from standins.simulation import Simulation
-
 from winglift.model import report_reconciliation
 from winglift.node import Node
 from winglift.workers.partition_detector import PartitionDetector, PartitionEvent, PartitionState
