--- a/standins/flow_leader.py
+++ b/standins/flow_leader.py
@@ -62,10 +62,10 @@
     async def get(self, digest: str) -> bytes:
         return self.blobs[digest]
 
-    async def describe(self, job: str, page: int, works: list[flow_messages.TaskDescription]) -> None:
+    async def put_task_descriptions(self, job: str, page: int, works: list[flow_messages.TaskDescription]) -> None:
         self.tasks.setdefault(job, {}).setdefault(page, works)
 
-    async def found(self, job: str, failed: bool = False) -> list[flow_messages.TaskResultItem]:
+    async def task_results(self, job: str, failed: bool = False) -> list[flow_messages.TaskResultItem]:
         def text(work: flow_messages.TaskDescription) -> str:
             return "(" + "+".join(work.command[1:]) + ")"
 
@@ -90,25 +90,25 @@
         self.state: Any = service
         self.files: Any = uploads
         self.engines = Engines()
-        self.open_jobs = 3
+        self.open_jobs_max = 3
         self.term = service.service.version("leader")  # its own key's revision, whoever leads later
 
-    def types(self) -> dict[str, MachineType]:
+    def machine_types(self) -> dict[str, MachineType]:
         return self._types
 
     def job(self, ref: str) -> None:
         return None
 
-    def take_job(self, ref: str, version: int, record: Any) -> None:
+    def apply_job_record(self, ref: str, version: int, record: Any) -> None:
         pass
 
-    def near(self, ref: str, machines: Any) -> None:
+    def set_preferred_machines(self, ref: str, machines: Any) -> None:
         pass
 
-    def leadership(self) -> state_messages.Condition:
+    def leadership_condition(self) -> state_messages.Condition:
         return state_messages.Condition("leader", self.term)
 
-    async def cancel(self, ref: str) -> None:
+    async def cancel_job(self, ref: str) -> None:
         if f"job/{ref}" in self.state.service.keys:
             value = self.state.service.keys[f"job/{ref}"][0]
             self.state.service.apply([{"write": f"job/{ref}", "v": value | {"o": "c"}}])
--- a/standins/flowlab.py
+++ b/standins/flowlab.py
@@ -23,8 +23,8 @@
 
 from winglift.config import settings as settings_module
 from winglift.flows import records
-from winglift.flows.graph import Node, critical, divide
-from winglift.flows.run import Run
+from winglift.flows.graph import Node, critical, divide_deadline
+from winglift.flows.run import FlowRun
 from winglift.model.quota import QuotaUsage
 from winglift.policy import snapshot as policy_snapshot
 from winglift.policy.plan import make_plan
@@ -148,19 +148,19 @@
     )
     service.apply([{"write": "flow/fl-1", "v": msgspec.to_builtins(records.Head(sub, time.time()))}])
     leads = Leads(direct, uploads, SETTINGS, TYPES)
-    leads.open_jobs = 100
+    leads.open_jobs_max = 100
     item = await direct.get("flow/fl-1")
     assert item is not None
-    run = Run(leads, records.decode_head(item.value), item.version)
+    run = FlowRun(leads, records.decode_head(item.value), item.version)
     spent, changes, direct.requests = 0.0, 0, 0
     beat = Heartbeat()
     began = time.process_time()
     await run.load()
     while True:
         before = service.revision
-        await run.step()
+        await run.run_cycle()
         changes += service.revision - before
-        if run.head.state is flow_messages.FlowState.DONE:
+        if run.flow_record.state is flow_messages.FlowState.DONE:
             break
         spent -= time.process_time()
         beat.pause()
@@ -173,7 +173,7 @@
     largest = max(len(msgspec.json.encode(v)) for v, _, _ in service.keys.values())
     # Taken over: what a new leader spends to stand where this one stands.
     began = time.process_time()
-    again = Run(leads, records.decode_head(item.value), item.version)
+    again = FlowRun(leads, records.decode_head(item.value), item.version)
     await again.load()
     return {
         "shape": shape,
@@ -259,7 +259,7 @@
         if how == "equal":
             depth = max(self.levels.values()) + 1
             return self.begin + (self.due - self.begin) * (self.levels[path] + 1) / depth
-        dues = divide(self.nodes, self.begin, self.due, self.ends, {})
+        dues = divide_deadline(self.nodes, self.begin, self.due, self.ends, {})
         return dues[path] if how == "run time" else self._latest(dues)[path]
 
     def _latest(self, dues: dict[str, float]) -> dict[str, float]:
--- a/tests/test_flow_engine.py
+++ b/tests/test_flow_engine.py
@@ -17,13 +17,13 @@
 from standins.flow_leader import Direct, Leads, Uploads
 from standins.state import StateService
 from winglift.flows import records
-from winglift.flows.command import Size
+from winglift.flows.command import TaskResources
 from winglift.flows.engine import Engine
 from winglift.flows.expressions import Endless, Engines, Evaluator, ExpressionError
-from winglift.flows.graph import Node, critical, divide, graph
+from winglift.flows.graph import Node, critical, divide_deadline, graph
 from winglift.flows.leader import Superseded
-from winglift.flows.parts import Part, submission
-from winglift.flows.run import Run
+from winglift.flows.parts import StepJob, build_submission
+from winglift.flows.run import FlowRun
 from winglift.flows.values import FlowError
 from winglift.policy.split import split_deadline
 from winglift.store.client import OutcomeUnknown, RequestRejected
@@ -92,7 +92,7 @@
         open_ += engine.take()
         if engine.outputs is None:
             leaf = open_.pop(chance.randrange(len(open_)))
-            engine.end(leaf, [result(e) for e in leaf.elements])
+            engine.complete_step(leaf, [result(e) for e in leaf.elements])
     assert open_ == []
     return engine.outputs
 
@@ -106,7 +106,7 @@
 def test_a_division_reaches_the_deadline_rises_along_paths_and_keeps_real_ends(plan, share, data):
     nodes = graph(plan)
     span = sum(nodes[p].run_s for p in critical(nodes))
-    due = divide(nodes, 100.0, 100.0 + span * share, {}, {})
+    due = divide_deadline(nodes, 100.0, 100.0 + span * share, {}, {})
     for path, node in nodes.items():
         begin = max((due[p] for p in node.parents), default=100.0)
         # Along every path each step gets its run time at least, and in proportion to it where there is time over.
@@ -115,13 +115,13 @@
     # A step ends early or late: what follows is divided anew, up to the same deadline if it can be met.
     first = data.draw(st.sampled_from([p for p, n in nodes.items() if not n.parents]))
     end = 100.0 + data.draw(st.floats(0.0, span))
-    again = divide(nodes, 100.0, 100.0 + span * share, {first: end}, {})
+    again = divide_deadline(nodes, 100.0, 100.0 + span * share, {first: end}, {})
     assert again[first] == end
     for path, node in nodes.items():
         assert path == first or all(again[path] >= again[p] - 1e-6 for p in node.parents)
     # A scatter that is wider than thought takes time from the others, never from itself.
-    wide = divide(nodes, 100.0, 100.0 + span * 3, {}, {first: 2.0})
-    before = divide(nodes, 100.0, 100.0 + span * 3, {}, {})
+    wide = divide_deadline(nodes, 100.0, 100.0 + span * 3, {}, {first: 2.0})
+    before = divide_deadline(nodes, 100.0, 100.0 + span * 3, {}, {})
     assert wide[first] >= before[first] - 1e-6
 
 
@@ -199,13 +199,13 @@
             service.apply([{"write": key, "v": value | {"o": "d"}}])
 
 
-async def late(run: Run, trouble: Trouble) -> None:
+async def late(run: FlowRun, trouble: Trouble) -> None:
     """A leader that does not know yet that it leads no more, or that its workflow is cancelled, changes nothing."""
     before = trouble.service.revision
     trouble.calm = True
     for _ in range(3):
         try:
-            await run.step()
+            await run.run_cycle()
         except (Superseded, FlowError):
             pass
     trouble.calm = False
@@ -227,29 +227,29 @@
             plan=await uploads.put(flow_messages.encode(plan)),
             order=await uploads.put(msgspec.json.encode(ORDER)),
         )
-        head = records.Head(sub, 0.0)
-        service.apply([{"write": "flow/fl-1", "v": msgspec.to_builtins(head)}])
-        run: Run | None = None
+        flow_record = records.Head(sub, 0.0)
+        service.apply([{"write": "flow/fl-1", "v": msgspec.to_builtins(flow_record)}])
+        run: FlowRun | None = None
         for turn in range(4000):
             if turn > 200:
                 trouble.calm = True
             item = await trouble.get("flow/fl-1")
             assert item is not None
-            head = records.decode_head(item.value)
-            if head.state is flow_messages.FlowState.DONE or head.tidy:
+            flow_record = records.decode_head(item.value)
+            if flow_record.state is flow_messages.FlowState.DONE or flow_record.jobs_cancelled:
                 break
             try:
                 if run is None or run.version != item.version:
-                    run = Run(Leads(trouble, uploads, settings(), {"g4": TYPE}), head, item.version)
+                    run = FlowRun(Leads(trouble, uploads, settings(), {"g4": TYPE}), flow_record, item.version)
                     await run.load()
-                if cancelled and turn == 12 and head.state is flow_messages.FlowState.OPEN:
+                if cancelled and turn == 12 and flow_record.state is flow_messages.FlowState.OPEN:
                     service.apply([{"write": "flow/fl-1", "v": service.keys["flow/fl-1"][0] | {"state": "cancelled"}}])
                     await late(run, trouble)
                     continue
-                if run.head.state is flow_messages.FlowState.OPEN:
-                    await run.step()
+                if run.flow_record.state is flow_messages.FlowState.OPEN:
+                    await run.run_cycle()
                 else:
-                    await run.tidy()
+                    await run.cancel_open_jobs()
             except (RequestRejected, OutcomeUnknown, Superseded):
                 pass
             except Died:
@@ -261,9 +261,9 @@
         else:
             raise AssertionError("it did not end")
         jobs = {k: v for k, (v, _, _) in service.keys.items() if k.startswith("job/")}
-        if head.state is flow_messages.FlowState.DONE:
-            assert head.outputs is not None
-            assert msgspec.json.decode(uploads.blobs[head.outputs]) == play(plan, 0)
+        if flow_record.state is flow_messages.FlowState.DONE:
+            assert flow_record.outputs is not None
+            assert msgspec.json.decode(uploads.blobs[flow_record.outputs]) == play(plan, 0)
             assert len(jobs) == len(graph(plan))
             assert len([k for k in service.keys if k.startswith("flowstep/")]) == len(jobs)
         else:
@@ -276,8 +276,11 @@
 
 
 def test_a_step_submits_nothing_that_a_user_could_not():
-    part = Part("wk-1", Size(1.0, 0.0, 1.0), [0], [])
-    assert submission(part, TOOL, flow_messages.Hints(priority="urgent", run_s=3.0), "red", 9.0, "a").estimate_s == 3.0
+    part = StepJob("wk-1", TaskResources(1.0, 0.0, 1.0), [0], [])
+    assert (
+        build_submission(part, TOOL, flow_messages.Hints(priority="urgent", run_s=3.0), "red", 9.0, "a").estimate_s
+        == 3.0
+    )
     for tool, hints in (
         (TOOL, flow_messages.Hints(run_s=-1.0)),
         (TOOL, flow_messages.Hints(priority="soon")),
@@ -285,7 +288,7 @@
         (msgspec.structs.replace(TOOL, image="x" * 200), flow_messages.Hints()),
     ):
         with pytest.raises(FlowError, match=r"^a: "):
-            submission(part, tool, hints, "red", 9.0, "a")
+            build_submission(part, tool, hints, "red", 9.0, "a")
 
 
 # -- expressions -----------------------------------------------------------------------------------
--- a/winglift/flows/command.py
+++ b/winglift/flows/command.py
@@ -14,12 +14,12 @@
 from .expressions import Evaluator, ExpressionError
 from .values import FlowError, describe, fits
 
-OUT = f"{TASK_DIR}/out"
-TMP = f"{TASK_DIR}/tmp"
+OUTPUT_DIR = f"{TASK_DIR}/out"
+TEMP_DIR = f"{TASK_DIR}/tmp"
 
 
 @dataclass(frozen=True, slots=True)
-class Size:
+class TaskResources:
     """What a task takes of its machine; tasks of one job are alike in it."""
 
     cpus: float
@@ -28,23 +28,23 @@
 
 
 @dataclass(slots=True)
-class Made:
+class BuiltTask:
     work: TaskDescription
-    size: Size
+    size: TaskResources
     blobs: dict[str, bytes] = field(default_factory=dict)  # contents to be uploaded, by digest
 
 
-def dress(value: Any) -> Any:
+def add_name_fields(value: Any) -> Any:
     """Files with what expressions ask of their names."""
     if isinstance(value, dict):
-        made = {k: dress(v) for k, v in value.items()}
+        made = {k: add_name_fields(v) for k, v in value.items()}
         if made.get("class") == "File" and "basename" in made:
             root, ext = posixpath.splitext(made["basename"])
             made["nameroot"], made["nameext"] = root, ext
             if "path" in made:
                 made["dirname"] = posixpath.dirname(made["path"])
         return made
-    return [dress(v) for v in value] if isinstance(value, list) else value
+    return [add_name_fields(v) for v in value] if isinstance(value, list) else value
 
 
 class Builder:
@@ -53,28 +53,33 @@
     def __init__(self, tool: Tool, inputs: dict[str, Any], evaluate: Evaluator, where: str) -> None:
         self.tool = tool
         self.where = where
-        self._evaluate = evaluate
+        self._evaluator = evaluate
         self._files: dict[str, InputFile] = {}
         self._blobs: dict[str, bytes] = {}
         self._count = 0
-        self.inputs = dress({name: self._place(value) for name, value in inputs.items()})
-        self.runtime: dict[str, Any] = {"outdir": OUT, "tmpdir": TMP, "outdirSize": 1024, "tmpdirSize": 1024}
-
-    def ask(self, text: Any, self_value: Any = None) -> Any:
+        self.inputs = add_name_fields({name: self._stage_inputs(value) for name, value in inputs.items()})
+        self.runtime: dict[str, Any] = {
+            "outdir": OUTPUT_DIR,
+            "tmpdir": TEMP_DIR,
+            "outdirSize": 1024,
+            "tmpdirSize": 1024,
+        }
+
+    def evaluate_text(self, text: Any, self_value: Any = None) -> Any:
         try:
-            return self._evaluate(text, {"inputs": self.inputs, "self": self_value, "runtime": self.runtime})
+            return self._evaluator(text, {"inputs": self.inputs, "self": self_value, "runtime": self.runtime})
         except ExpressionError as err:
             raise FlowError(f"{self.where}: {err}") from None
 
-    def _text(self, text: str, what: str) -> str:
-        value = self.ask(text)
+    def _evaluate_string(self, text: str, what: str) -> str:
+        value = self.evaluate_text(text)
         if not isinstance(value, str):
             raise FlowError(f"{self.where}: {what}: expected a text, got {value!r}")
         return value
 
     # -- files ---------------------------------------------------------------------------------
 
-    def _blob(self, content: bytes) -> str:
+    def _add_blob(self, content: bytes) -> str:
         digest = hashlib.sha256(content).hexdigest()
         self._blobs[digest] = content
         return digest
@@ -92,58 +97,58 @@
         if location.startswith(UPLOAD_PREFIX):
             self._files[path] = InputFile(path, location.removeprefix(UPLOAD_PREFIX))
         elif isinstance(value.get("contents"), str):
-            self._files[path] = InputFile(path, self._blob(value["contents"].encode()))
+            self._files[path] = InputFile(path, self._add_blob(value["contents"].encode()))
         else:
             raise FlowError(f"{self.where}: {name}: neither content nor upload")
         return value | {"path": path}
 
-    def _place(self, value: Any) -> Any:
+    def _stage_inputs(self, value: Any) -> Any:
         """Each input file gets a folder of its own: names may be equal."""
         if isinstance(value, dict):
             if value.get("class") in ("File", "Directory"):
                 self._count += 1
                 return self._stage(value, f"{TASK_DIR}/in/{self._count}")
-            return {k: self._place(v) for k, v in value.items()}
-        return [self._place(v) for v in value] if isinstance(value, list) else value
+            return {k: self._stage_inputs(v) for k, v in value.items()}
+        return [self._stage_inputs(v) for v in value] if isinstance(value, list) else value
 
-    def _initial(self) -> None:
+    def _stage_work_dir(self) -> None:
         """InitialWorkDirRequirement: what lies in the output folder before the command starts."""
         for item in self.tool.staged:
-            value = self.ask(item.entry)
-            name = self._text(item.name, "entryname") if item.name is not None else None
+            value = self.evaluate_text(item.entry)
+            name = self._evaluate_string(item.name, "entryname") if item.name is not None else None
             if value is None:
                 continue
             for entry in value if isinstance(value, list) else [value]:
                 if isinstance(entry, dict) and entry.get("class") in ("File", "Directory"):
                     old = entry.get("path")
-                    staged = self._stage(entry | ({"basename": name} if name else {}), OUT)
+                    staged = self._stage(entry | ({"basename": name} if name else {}), OUTPUT_DIR)
                     if old:
-                        self.inputs = self._moved(self.inputs, old, staged)
+                        self.inputs = self._replace_path(self.inputs, old, staged)
                 elif name is None:
                     raise FlowError(f"{self.where}: a text in the work folder needs an entryname")
                 else:
                     text = entry if isinstance(entry, str) else msgspec.json.encode(entry).decode()
-                    self._stage({"class": "File", "basename": name, "contents": text}, OUT)
+                    self._stage({"class": "File", "basename": name, "contents": text}, OUTPUT_DIR)
 
-    def _moved(self, value: Any, old: str, new: dict[str, Any]) -> Any:
+    def _replace_path(self, value: Any, old: str, new: dict[str, Any]) -> Any:
         if isinstance(value, dict):
             if value.get("path") == old:
                 self._files.pop(old, None)
-                return dress(new)
-            return {k: self._moved(v, old, new) for k, v in value.items()}
-        return [self._moved(v, old, new) for v in value] if isinstance(value, list) else value
+                return add_name_fields(new)
+            return {k: self._replace_path(v, old, new) for k, v in value.items()}
+        return [self._replace_path(v, old, new) for v in value] if isinstance(value, list) else value
 
     # -- the command line ----------------------------------------------------------------------
 
     def _position(self, binding: Binding, value: Any) -> int:
-        position = self.ask(binding.position, value)
+        position = self.evaluate_text(binding.position, value)
         if position is None:
             return 0
         if not isinstance(position, int):
             raise FlowError(f"{self.where}: position: expected a whole number, got {position!r}")
         return position
 
-    def _plain(self, value: Any) -> str:
+    def _to_argument(self, value: Any) -> str:
         if isinstance(value, dict):
             if "path" not in value:
                 raise FlowError(f"{self.where}: a record without bindings can't stand on a command line")
@@ -154,10 +159,10 @@
             return f"{value:.1f}"
         return str(value)
 
-    def _bound(self, binding: Binding, value: Any, param: Param | None = None) -> list[str]:
+    def _bind(self, binding: Binding, value: Any, param: Param | None = None) -> list[str]:
         """The words that a value gives."""
         if binding.value_from is not None and (value is not None or param is None):
-            value = self.ask(binding.value_from, value)
+            value = self.evaluate_text(binding.value_from, value)
         prefix = binding.prefix
         if value is None or value is False:
             return []
@@ -167,71 +172,73 @@
             if not value:
                 return []
             if binding.item_separator is not None:
-                value = binding.item_separator.join(self._plain(v) for v in value)
+                value = binding.item_separator.join(self._to_argument(v) for v in value)
             else:
                 each = param.items if param is not None else None
-                words = [w for v in value for w in (self._bound(each, v) if each else [self._plain(v)])]
+                words = [w for v in value for w in (self._bind(each, v) if each else [self._to_argument(v)])]
                 return ([prefix] if prefix else []) + words
         if isinstance(value, dict) and "path" not in value:
             fields = param.fields if param is not None else {}
             keyed = sorted((self._position(b, value.get(f)), f) for f, b in fields.items())
-            words = [w for _, f in keyed for w in self._bound(fields[f], value.get(f))]
+            words = [w for _, f in keyed for w in self._bind(fields[f], value.get(f))]
             return ([prefix] if prefix else []) + words
-        word = self._plain(value)
+        word = self._to_argument(value)
         if prefix is None:
             return [word]
         return [prefix, word] if binding.separate else [prefix + word]
 
-    def _command(self) -> list[str]:
+    def _build_command(self) -> list[str]:
         words: list[tuple[tuple[int, int, int, str], list[str]]] = []
         for number, binding in enumerate(self.tool.arguments):
-            words.append(((self._position(binding, None), 0, number, ""), self._bound(binding, None)))
+            words.append(((self._position(binding, None), 0, number, ""), self._bind(binding, None)))
         for param in self.tool.inputs:
             value = self.inputs.get(param.name)
             shown = param.binding
             if shown is None and (param.items or param.fields):
                 shown = Binding()
             if shown is not None and value is not None:
-                words.append(((self._position(shown, value), 1, 0, param.name), self._bound(shown, value, param)))
+                words.append(((self._position(shown, value), 1, 0, param.name), self._bind(shown, value, param)))
         command = [*self.tool.base, *(w for _, found in sorted(words, key=lambda x: x[0]) for w in found)]
         if not command:
             raise FlowError(f"{self.where}: an empty command")
         return command
 
-    def _amount(self, text: float | str, what: str) -> float:
-        value = self.ask(text) if isinstance(text, str) else text
+    def _evaluate_amount(self, text: float | str, what: str) -> float:
+        value = self.evaluate_text(text) if isinstance(text, str) else text
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) or value < 0:
             raise FlowError(f"{self.where}: {what}: expected an amount, got {value!r}")
         return float(value)
 
-    def build(self) -> Made:
+    def build(self) -> BuiltTask:
         tool = self.tool
-        size = Size(
-            self._amount(tool.cpus, "cores"), self._amount(tool.gpus, "GPUs"), self._amount(tool.memory_gb, "memory")
+        size = TaskResources(
+            self._evaluate_amount(tool.cpus, "cores"),
+            self._evaluate_amount(tool.gpus, "GPUs"),
+            self._evaluate_amount(tool.memory_gb, "memory"),
         )
         self.runtime |= {"cores": math.ceil(size.cpus), "ram": math.ceil(size.memory_gb * 1024)}
-        self._initial()
+        self._stage_work_dir()
         work = TaskDescription(
-            command=self._command(),
-            env={name: self._text(text, f"variable {name}") for name, text in tool.env.items()},
+            command=self._build_command(),
+            env={name: self._evaluate_string(text, f"variable {name}") for name, text in tool.env.items()},
             files=list(self._files.values()),
-            stdin=self._text(tool.stdin, "stdin") if tool.stdin else None,
-            stdout=self._text(tool.stdout, "stdout") if tool.stdout else None,
-            stderr=self._text(tool.stderr, "stderr") if tool.stderr else None,
+            stdin=self._evaluate_string(tool.stdin, "stdin") if tool.stdin else None,
+            stdout=self._evaluate_string(tool.stdout, "stdout") if tool.stdout else None,
+            stderr=self._evaluate_string(tool.stderr, "stderr") if tool.stderr else None,
             success=tool.success,
-            time_s=self._amount(tool.time_s, "time limit"),
-            outputs=[Output(o.name, None, self._globs(o), o.load) for o in tool.outputs],
+            time_s=self._evaluate_amount(tool.time_s, "time limit"),
+            outputs=[Output(o.name, None, self._evaluate_globs(o), o.load) for o in tool.outputs],
         )
-        return Made(work, size, self._blobs)
+        return BuiltTask(work, size, self._blobs)
 
-    def _globs(self, output: Output) -> list[str]:
+    def _evaluate_globs(self, output: Output) -> list[str]:
         found: list[str] = []
         for text in output.glob:
-            value = self.ask(text)
+            value = self.evaluate_text(text)
             for pattern in value if isinstance(value, list) else [value]:
                 if not isinstance(pattern, str):
                     raise FlowError(f"{self.where}/{output.name}: glob: expected a text, got {pattern!r}")
-                found.append(pattern.removeprefix(f"{OUT}/"))
+                found.append(pattern.removeprefix(f"{OUTPUT_DIR}/"))
         return found
 
     def collect(self, found: TaskResult) -> dict[str, Any]:
@@ -242,9 +249,9 @@
             if found.whole is not None:
                 value = found.whole.get(output.name)
             else:
-                files = dress(found.outputs.get(output.name, []))
+                files = add_name_fields(found.outputs.get(output.name, []))
                 if output.evaluate is not None:
-                    value = self.ask(output.evaluate, files)
+                    value = self.evaluate_text(output.evaluate, files)
                 elif fits(files, output.type) and isinstance(output.type, dict):
                     value = files
                 else:
--- a/winglift/flows/driver.py
+++ b/winglift/flows/driver.py
@@ -20,13 +20,13 @@
 from .expressions import Engines
 from .files import Files, FilesError
 from .leader import StepFailed, Superseded
-from .run import Run
+from .run import FlowRun
 from .settings import FlowSettings
 from .values import FlowError
 
 log = logging.getLogger(__name__)
 
-AGAIN = (RequestRejected, OutcomeUnknown, LeaseExpired, FilesError, TemporarilyUnavailable)
+RETRIABLE_ERRORS = (RequestRejected, OutcomeUnknown, LeaseExpired, FilesError, TemporarilyUnavailable)
 
 
 class Driver:
@@ -40,153 +40,158 @@
         self.state = controller.state
         self.files = files
         self.engines = engines
-        self.open_jobs = settings.open_jobs
+        self.open_jobs_max = settings.open_jobs
         self._jobs = jobs
-        self._heads: dict[str, tuple[int, records.Head]] = {}
-        self._runs: dict[str, asyncio.Task[None]] = {}
-        self._wakes: dict[str, asyncio.Event] = {}
-        self._task = asyncio.ensure_future(self._follow())
+        self._flow_records: dict[str, tuple[int, records.Head]] = {}
+        self._drivers: dict[str, asyncio.Task[None]] = {}
+        self._wake_events: dict[str, asyncio.Event] = {}
+        self._task = asyncio.ensure_future(self._watch_records())
 
     def stop(self) -> None:
         self._task.cancel()
-        for task in self._runs.values():
+        for task in self._drivers.values():
             task.cancel()
 
     # -- what runs need ------------------------------------------------------------------------
 
-    def types(self) -> dict[str, MachineType]:
+    def machine_types(self) -> dict[str, MachineType]:
         return self.controller.types
 
     def job(self, ref: str) -> Job | None:
         return self.controller.cluster.jobs.get(ref)
 
-    def take_job(self, ref: str, version: int, record: job_records.JobRecord) -> None:
+    def apply_job_record(self, ref: str, version: int, record: job_records.JobRecord) -> None:
         self.controller.apply_record(ref, version, record)
 
-    def near(self, ref: str, machines: frozenset[str] | None) -> None:
+    def set_preferred_machines(self, ref: str, machines: frozenset[str] | None) -> None:
         if machines is None:
             self.controller.snapshot_builder.preferred_machines.pop(ref, None)
         else:
             self.controller.snapshot_builder.preferred_machines[ref] = machines
 
-    def leadership(self) -> state_messages.Condition:
+    def leadership_condition(self) -> state_messages.Condition:
         # As every leader write, on the leadership key at its revision (invariant 1).
         if not self.controller.leadership.has_valid_lease(monotonic_time()):
             raise RequestRejected("this node does not lead now")
         return self.controller.duties.fence.condition()
 
-    async def cancel(self, ref: str) -> None:
+    async def cancel_job(self, ref: str) -> None:
         await self._jobs.cancel(ref)
 
     # -- heads ---------------------------------------------------------------------------------
 
-    async def _follow(self) -> None:
+    async def _watch_records(self) -> None:
         while True:
             try:
                 items, revision = await self.state.list(records.HEAD)
                 for item in items:
-                    self._take(item.key, item.version, item.value)
+                    self._apply_flow_record(item.key, item.version, item.value)
                 while True:
                     changes = await self.state.changes(records.HEAD, revision)
                     for event in changes.events:
                         if event.put is not None:
-                            self._take(event.put, event.version, event.value)
+                            self._apply_flow_record(event.put, event.version, event.value)
                     revision = max(revision, changes.revision)
             except (RequestRejected, OutcomeUnknown, RevisionCompacted) as err:
                 log.debug("workflows: %s", err)
                 await asyncio.sleep(0.5)
 
-    def _take(self, key: str, version: int, value) -> None:  # type: ignore[no-untyped-def]
+    def _apply_flow_record(self, key: str, version: int, value) -> None:  # type: ignore[no-untyped-def]
         ref = key.removeprefix(records.HEAD)
         try:
-            head = records.decode_head(value)
+            record = records.decode_head(value)
         except records.InvalidRecord as err:
             log.error("%s is left alone: %s", ref, err)
             return
-        known = self._heads.get(ref)
+        known = self._flow_records.get(ref)
         if known is not None and known[0] >= version:
             return
-        self._heads[ref] = version, head
-        wake = self._wakes.get(ref)
+        self._flow_records[ref] = version, record
+        wake = self._wake_events.get(ref)
         if wake is not None:
             wake.set()
-        over = head.state is FlowState.DONE or head.tidy
-        if not over and ref not in self._runs:
-            self._wakes[ref] = asyncio.Event()
-            self._runs[ref] = asyncio.ensure_future(self._drive(ref))
-        elif over and ref not in self._runs:
-            del self._heads[ref]
+        over = record.state is FlowState.DONE or record.jobs_cancelled
+        if not over and ref not in self._drivers:
+            self._wake_events[ref] = asyncio.Event()
+            self._drivers[ref] = asyncio.ensure_future(self._drive_workflow(ref))
+        elif over and ref not in self._drivers:
+            del self._flow_records[ref]
 
     # -- one workflow --------------------------------------------------------------------------
 
-    async def _drive(self, ref: str) -> None:
-        run: Run | None = None
+    async def _drive_workflow(self, ref: str) -> None:
+        run: FlowRun | None = None
         try:
             while True:
-                version, head = self._heads[ref]
-                if head.state is FlowState.DONE or head.tidy:
+                version, record = self._flow_records[ref]
+                if record.state is FlowState.DONE or record.jobs_cancelled:
                     return
                 try:
                     if run is None or run.version != version:
                         # A change by others, or by a transaction of ours that got no answer: begin from the records.
-                        run = Run(self, head, version)
+                        run = FlowRun(self, record, version)
                         try:
                             await run.load()
                         except (FlowError, InvalidMessage) as err:
                             await self._fail(run, err)
                             continue
-                    if run.head.state is FlowState.OPEN:
+                    if run.flow_record.state is FlowState.OPEN:
                         try:
-                            await run.step()
+                            await run.run_cycle()
                         except FlowError as err:
                             await self._fail(run, err)
-                    if run.head.state in (FlowState.FAILED, FlowState.CANCELLED) and not run.head.tidy:
-                        await run.tidy()
-                    self._heads[ref] = max(self._heads[ref], (run.version, run.head), key=lambda found: found[0])
+                    if (
+                        run.flow_record.state in (FlowState.FAILED, FlowState.CANCELLED)
+                        and not run.flow_record.jobs_cancelled
+                    ):
+                        await run.cancel_open_jobs()
+                    self._flow_records[ref] = max(
+                        self._flow_records[ref], (run.version, run.flow_record), key=lambda found: found[0]
+                    )
                 except Superseded as err:
                     log.debug("%s", err)
-                    await self._refresh(ref)
-                except AGAIN as err:
+                    await self._refresh_record(ref)
+                except RETRIABLE_ERRORS as err:
                     log.debug("%s: %s", ref, err)
                     run = run if run is not None and run.engine is not None else None
-                await self._pause(ref)
+                await self._wait_for_next_cycle(ref)
         except asyncio.CancelledError:
             raise
         except Exception:
             log.exception("fault in %s", ref)
             await asyncio.sleep(5.0)
         finally:
-            self._runs.pop(ref, None)
-            self._wakes.pop(ref, None)
-            found = self._heads.pop(ref, None)
-            if found is not None and not (found[1].state is FlowState.DONE or found[1].tidy):
-                asyncio.get_running_loop().call_later(5.0, self._again, ref, *found)
+            self._drivers.pop(ref, None)
+            self._wake_events.pop(ref, None)
+            found = self._flow_records.pop(ref, None)
+            if found is not None and not (found[1].state is FlowState.DONE or found[1].jobs_cancelled):
+                asyncio.get_running_loop().call_later(5.0, self._restart, ref, *found)
 
-    def _again(self, ref: str, version: int, head: records.Head) -> None:
+    def _restart(self, ref: str, version: int, record: records.Head) -> None:
         """A run that ended by a fault begins anew, unless this term is over."""
-        if not self._task.done() and ref not in self._runs:
-            self._take(records.HEAD + ref, version, job_records.encode(head))  # type: ignore[arg-type]
+        if not self._task.done() and ref not in self._drivers:
+            self._apply_flow_record(records.HEAD + ref, version, job_records.encode(record))  # type: ignore[arg-type]
 
-    async def _fail(self, run: Run, err: Exception) -> None:
+    async def _fail(self, run: FlowRun, err: Exception) -> None:
         log.debug("%s: %s", run.ref, err)
-        if run.head.state is not FlowState.OPEN:
+        if run.flow_record.state is not FlowState.OPEN:
             return
         try:
             await run.finish(FlowState.FAILED, str(err), err.errors if isinstance(err, StepFailed) else "")
         finally:
-            if run.version > self._heads[run.ref][0]:
-                self._heads[run.ref] = run.version, run.head
+            if run.version > self._flow_records[run.ref][0]:
+                self._flow_records[run.ref] = run.version, run.flow_record
 
-    async def _refresh(self, ref: str) -> None:
+    async def _refresh_record(self, ref: str) -> None:
         try:
             item = await self.state.get(records.HEAD + ref)
             if item is not None:
-                self._take(records.HEAD + ref, item.version, item.value)
+                self._apply_flow_record(records.HEAD + ref, item.version, item.value)
         except (RequestRejected, OutcomeUnknown) as err:
             log.debug("%s: %s", ref, err)
 
-    async def _pause(self, ref: str) -> None:
-        wake = self._wakes[ref]
+    async def _wait_for_next_cycle(self, ref: str) -> None:
+        wake = self._wake_events[ref]
         wake.clear()
         try:
             async with asyncio.timeout(constants.FLOW_CYCLE_INTERVAL_S):
--- a/winglift/flows/engine.py
+++ b/winglift/flows/engine.py
@@ -13,7 +13,7 @@
 
 from ..wire.flows import UPLOAD_PREFIX, Expression, FlowOutput, Hints, Param, Plan, Step, Tool, Workflow
 from .expressions import Engines, Evaluator, ExpressionError
-from .values import FlowError, describe, files_of, fits, gather, nest, scatter
+from .values import FlowError, describe, find_files, fits, merge_sources, nest_values, scatter_inputs
 
 
 class StepState(Enum):
@@ -25,16 +25,16 @@
 
 
 class StepEvent(Enum):
-    ARRIVED = auto()  # the last of its inputs
-    TAKEN = auto()
+    INPUTS_READY = auto()  # the last of its inputs
+    STARTED = auto()
     ENDED = auto()
     SKIP = auto()
 
 
 _S, _E = StepState, StepEvent
 TRANSITIONS = {
-    (_S.WAITING, _E.ARRIVED): _S.READY,
-    (_S.READY, _E.TAKEN): _S.OPEN,
+    (_S.WAITING, _E.INPUTS_READY): _S.READY,
+    (_S.READY, _E.STARTED): _S.OPEN,
     (_S.READY, _E.SKIP): _S.SKIPPED,
     (_S.OPEN, _E.ENDED): _S.DONE,
 }
@@ -56,17 +56,17 @@
     process: str
     hints: Hints
     elements: list[dict[str, Any]]  # inputs of those that run
-    node: Instance
+    node: StepInstance
 
 
 @dataclass(slots=True, eq=False)
-class Instance:
+class StepInstance:
     """One step of one frame."""
 
     step: Step
     frame: Frame
     path: str
-    missing: set[str]
+    missing_sources: set[str]
     state: StepState = StepState.WAITING
     shape: list[int] | None = None  # of the result, where it is scattered
     results: list[dict[str, Any] | None] = field(default_factory=list)  # per element; None: not there yet
@@ -87,13 +87,13 @@
     workflow: Workflow
     values: dict[str, Any]
     hints: Hints
-    parent: tuple[Instance, int] | None
-    left: int = 0
-    waiting: dict[str, list[Instance]] = field(default_factory=dict)  # by source
+    parent: tuple[StepInstance, int] | None
+    unfinished_steps: int = 0
+    waiting_by_source: dict[str, list[StepInstance]] = field(default_factory=dict)  # by source
 
 
 class Engine:
-    """Usage: `start()`; then again and again `go()`, `take()` what is ready, and `end()` what has ended."""
+    """Usage: `start()`; then again and again `go()`, `take()` what is ready, and `complete_step()` what has ended."""
 
     def __init__(self, plan: Plan, order: dict[str, Any], engines: Engines) -> None:
         self.plan = plan
@@ -101,8 +101,8 @@
         self.engines = engines
         self.contents: dict[str, str] = {}  # of files that are asked for, by digest
         self.outputs: dict[str, Any] | None = None  # once all is done
-        self._ready: list[Leaf] = []
-        self._queue: deque[Instance] = deque()
+        self._ready_leaves: list[Leaf] = []
+        self._prepare_queue: deque[StepInstance] = deque()
         self._evaluators: dict[str, Evaluator] = {}
 
     def evaluator(self, key: str) -> Evaluator:
@@ -116,24 +116,24 @@
         main = self.plan.processes[self.plan.main]
         if not isinstance(main, Workflow):
             raise FlowError("the plan's main process is no workflow")
-        self._open(self.plan.main, "", self.order, Hints(), None)
+        self._start_workflow(self.plan.main, "", self.order, Hints(), None)
 
-    def go(self, most: int | None = None) -> bool:
+    def go(self, steps_max: int | None = None) -> bool:
         """Follow what is known, up to so many steps; is there more? Raises Needs, FlowError; after Needs it is called
         again with the content there."""
-        looked = 0
-        while self._queue and (most is None or looked < most):
-            looked += 1
+        prepared = 0
+        while self._prepare_queue and (steps_max is None or prepared < steps_max):
+            prepared += 1
             try:
-                self._prepare(self._queue[0])
+                self._prepare_step(self._prepare_queue[0])
             except FlowError:
-                self._queue.popleft()
+                self._prepare_queue.popleft()
                 raise
-            self._queue.popleft()
-        return bool(self._queue)
+            self._prepare_queue.popleft()
+        return bool(self._prepare_queue)
 
     def take(self) -> list[Leaf]:
-        found, self._ready = self._ready, []
+        found, self._ready_leaves = self._ready_leaves, []
         return found
 
     def evaluate(self, leaf: Leaf) -> list[dict[str, Any]]:
@@ -142,7 +142,7 @@
         assert isinstance(process, Expression)
         found = []
         for inputs in leaf.elements:
-            result = self._ask(
+            result = self._evaluate_text(
                 leaf.process, process.expression, {"inputs": inputs, "self": None, "runtime": {}}, leaf.path
             )
             if not isinstance(result, dict):
@@ -153,81 +153,81 @@
             found.append({o.name: result.get(o.name) for o in process.outputs})
         return found
 
-    def end(self, leaf: Leaf, results: list[dict[str, Any]]) -> None:
+    def complete_step(self, leaf: Leaf, results: list[dict[str, Any]]) -> None:
         """A leaf has ended with these outputs, one object for each element that ran."""
         node = leaf.node
         if len(results) != len(node.places):
             raise FlowError(f"{leaf.path}: {len(results)} results of {len(node.places)}")
         for place, result in zip(node.places, results, strict=True):
             node.results[place] = result
-        self._ended(node)
+        self._finish_step(node)
 
     # -- frames --------------------------------------------------------------------------------
 
-    def _open(
-        self, key: str, path: str, inputs: dict[str, Any], hints: Hints, parent: tuple[Instance, int] | None
+    def _start_workflow(
+        self, key: str, path: str, inputs: dict[str, Any], hints: Hints, parent: tuple[StepInstance, int] | None
     ) -> None:
         workflow = self.plan.processes[key]
         assert isinstance(workflow, Workflow)
-        values = self._check(workflow.inputs, inputs, path)
+        values = self._check_inputs(workflow.inputs, inputs, path)
         frame = Frame(path, key, workflow, values, workflow.hints.with_defaults(hints), parent, len(workflow.steps))
         for step in workflow.steps:
             here = f"{path}/{step.name}" if path else step.name
-            missing = {s for i in step.inputs for s in i.source if s not in frame.values}
-            instance = Instance(step, frame, here, missing)
-            for source in missing:
-                frame.waiting.setdefault(source, []).append(instance)
-            if not missing:
-                instance.move(StepEvent.ARRIVED)
-                self._queue.append(instance)
+            missing_sources = {s for i in step.inputs for s in i.source if s not in frame.values}
+            instance = StepInstance(step, frame, here, missing_sources)
+            for source in missing_sources:
+                frame.waiting_by_source.setdefault(source, []).append(instance)
+            if not missing_sources:
+                instance.move(StepEvent.INPUTS_READY)
+                self._prepare_queue.append(instance)
         if not workflow.steps:
-            self._close(frame)
+            self._finish_workflow(frame)
 
-    def _close(self, frame: Frame) -> None:
-        made = {o.name: self._output(frame, o) for o in frame.workflow.outputs}
+    def _finish_workflow(self, frame: Frame) -> None:
+        made = {o.name: self._workflow_output(frame, o) for o in frame.workflow.outputs}
         if frame.parent is None:
             self.outputs = made
             return
         node, place = frame.parent
         node.results[place] = made
         if all(r is not None for r in node.results):
-            self._ended(node)
+            self._finish_step(node)
 
-    def _output(self, frame: Frame, out: FlowOutput) -> Any:
+    def _workflow_output(self, frame: Frame, out: FlowOutput) -> Any:
         where = f"{frame.path}/{out.name}" if frame.path else out.name
-        value = gather(out.source, frame.values, out.several, out.merge, out.pick, where)
+        value = merge_sources(out.source, frame.values, out.several, out.merge, out.pick, where)
         if not fits(value, out.type):
             raise FlowError(f"{where}: expected {describe(out.type)}")
         return value
 
-    def _ended(self, node: Instance, event: StepEvent = StepEvent.ENDED) -> None:
+    def _finish_step(self, node: StepInstance, event: StepEvent = StepEvent.ENDED) -> None:
         node.move(event)
         frame = node.frame
         for name in node.step.outputs:
             values = [(r or {}).get(name) for r in node.results]
-            value = values[0] if node.shape is None else nest(values, node.shape)
+            value = values[0] if node.shape is None else nest_values(values, node.shape)
             source = f"{node.step.name}/{name}"
             frame.values[source] = value
-            for other in frame.waiting.pop(source, ()):
-                other.missing.discard(source)
-                if not other.missing and other.state is StepState.WAITING:
-                    other.move(StepEvent.ARRIVED)
-                    self._queue.append(other)
-        frame.left -= 1
-        if frame.left == 0:
-            self._close(frame)
+            for other in frame.waiting_by_source.pop(source, ()):
+                other.missing_sources.discard(source)
+                if not other.missing_sources and other.state is StepState.WAITING:
+                    other.move(StepEvent.INPUTS_READY)
+                    self._prepare_queue.append(other)
+        frame.unfinished_steps -= 1
+        if frame.unfinished_steps == 0:
+            self._finish_workflow(frame)
 
     # -- one step ------------------------------------------------------------------------------
 
-    def _ask(self, key: str, text: Any, names: dict[str, Any], where: str) -> Any:
+    def _evaluate_text(self, key: str, text: Any, names: dict[str, Any], where: str) -> Any:
         try:
             return self.evaluator(key)(text, names)
         except ExpressionError as err:
             raise FlowError(f"{where}: {err}") from None
 
-    def _load(self, value: Any) -> Any:
+    def _load_contents(self, value: Any) -> Any:
         """Files with their contents."""
-        for file in files_of(value):
+        for file in find_files(value):
             if "contents" not in file:
                 digest = file["location"].removeprefix(UPLOAD_PREFIX)
                 if digest not in self.contents:
@@ -235,10 +235,10 @@
         if isinstance(value, dict) and value.get("class") == "File" and "contents" not in value:
             return value | {"contents": self.contents[value["location"].removeprefix(UPLOAD_PREFIX)]}
         if isinstance(value, list):
-            return [self._load(v) for v in value]
+            return [self._load_contents(v) for v in value]
         return value
 
-    def _check(self, params: list[Param], given: dict[str, Any], where: str) -> dict[str, Any]:
+    def _check_inputs(self, params: list[Param], given: dict[str, Any], where: str) -> dict[str, Any]:
         made = {}
         for param in params:
             value = given.get(param.name)
@@ -246,18 +246,22 @@
                 value = param.default
             if not fits(value, param.type):
                 raise FlowError(f"{where}/{param.name}: expected {describe(param.type)}".lstrip("/"))
-            made[param.name] = self._load(value) if param.load else value
+            made[param.name] = self._load_contents(value) if param.load else value
         return made
 
-    def _prepare(self, node: Instance) -> None:
+    def _prepare_step(self, node: StepInstance) -> None:
         """A step whose inputs are all there: what is to run."""
         step, frame = node.step, node.frame
         given: dict[str, Any] = {}
         for sink in step.inputs:
-            value = gather(sink.source, frame.values, sink.several, sink.merge, sink.pick, f"{node.path}/{sink.name}")
+            value = merge_sources(
+                sink.source, frame.values, sink.several, sink.merge, sink.pick, f"{node.path}/{sink.name}"
+            )
             value = sink.default if value is None else value
-            given[sink.name] = self._load(value) if sink.load else value
-        rows, shape = ([given], None) if not step.scatter else scatter(step.scatter, step.method, given, node.path)
+            given[sink.name] = self._load_contents(value) if sink.load else value
+        rows, shape = (
+            ([given], None) if not step.scatter else scatter_inputs(step.scatter, step.method, given, node.path)
+        )
         process = self.plan.processes[step.run]
         key = frame.key
         run: list[tuple[int, dict[str, Any]]] = []
@@ -265,39 +269,39 @@
             inputs = dict(row)
             for sink in step.inputs:
                 if sink.value_from is not None:
-                    inputs[sink.name] = self._ask(
+                    inputs[sink.name] = self._evaluate_text(
                         key,
                         sink.value_from,
                         {"inputs": row, "self": row[sink.name], "runtime": {}},
                         f"{node.path}/{sink.name}",
                     )
             if step.when is not None:
-                wanted = self._ask(key, step.when, {"inputs": inputs, "self": None, "runtime": {}}, node.path)
+                wanted = self._evaluate_text(key, step.when, {"inputs": inputs, "self": None, "runtime": {}}, node.path)
                 if not isinstance(wanted, bool):
                     raise FlowError(f"{node.path}: when gives neither true nor false")
                 if not wanted:
                     continue
             run.append((place, inputs))
         # From here on nothing can be asked for: the step's state changes once.
-        checked = [(place, self._check(process.inputs, i, node.path)) for place, i in run]
+        checked = [(place, self._check_inputs(process.inputs, i, node.path)) for place, i in run]
         node.shape = shape
         node.results = [{} for _ in rows]
         node.places = [place for place, _ in checked]
         if not checked:
             if rows:
-                self._ended(node, StepEvent.SKIP)
+                self._finish_step(node, StepEvent.SKIP)
             else:
-                node.move(StepEvent.TAKEN)
-                self._ended(node)
+                node.move(StepEvent.STARTED)
+                self._finish_step(node)
             return
-        node.move(StepEvent.TAKEN)
+        node.move(StepEvent.STARTED)
         if isinstance(process, Workflow):
             for place, _ in checked:
                 node.results[place] = None
             for place, inputs in checked:
                 inner = node.path if shape is None else f"{node.path}[{place}]"
-                self._open(step.run, inner, inputs, step.hints.with_defaults(frame.hints), (node, place))
+                self._start_workflow(step.run, inner, inputs, step.hints.with_defaults(frame.hints), (node, place))
             return
         said = process.hints if isinstance(process, Tool) else Hints()
         hints = step.hints.with_defaults(said.with_defaults(frame.hints))
-        self._ready.append(Leaf(node.path, step.run, hints, [i for _, i in checked], node))
+        self._ready_leaves.append(Leaf(node.path, step.run, hints, [i for _, i in checked], node))
--- a/winglift/flows/expressions.py
+++ b/winglift/flows/expressions.py
@@ -32,7 +32,7 @@
     return isinstance(text, str) and ("$(" in text or "${" in text)
 
 
-def _close(text: str, at: int) -> int:
+def _bracket_end(text: str, at: int) -> int:
     """Index after the bracket that closes the one at `at`, minding strings."""
     opening, closing = text[at], {"(": ")", "{": "}"}[text[at]]
     depth, quote, i = 0, "", at
@@ -55,7 +55,7 @@
     raise ExpressionError(f"{text}: a bracket is not closed")
 
 
-def parts(text: str) -> list[tuple[bool, str]]:
+def split_expressions(text: str) -> list[tuple[bool, str]]:
     """(is an expression, text) in order; expressions keep their leading $."""
     found: list[tuple[bool, str]] = []
     plain, i = "", 0
@@ -70,7 +70,7 @@
             if plain:
                 found.append((False, plain))
                 plain = ""
-            end = _close(text, i + 1)
+            end = _bracket_end(text, i + 1)
             found.append((True, text[i:end]))
             i = end
         else:
@@ -81,7 +81,7 @@
     return found
 
 
-def _refer(path: str, names: dict[str, Any], whole: str) -> Any:
+def _resolve_reference(path: str, names: dict[str, Any], whole: str) -> Any:
     match = _REFERENCE.match(path)
     if match is None:
         raise ExpressionError(f"{whole}: not a parameter reference, and the process does not ask for JavaScript")
@@ -108,7 +108,7 @@
     return value
 
 
-_LOCKED = "delete globalThis.Date; Math.random = undefined;"
+_REMOVE_CLOCK_AND_RANDOM = "delete globalThis.Date; Math.random = undefined;"
 
 
 class Engines:
@@ -129,7 +129,7 @@
             found = quickjs.Context()
             found.set_memory_limit(int(self.memory_mb * 2**20))
             found.set_time_limit(self.time_s)
-            found.eval(_LOCKED)
+            found.eval(_REMOVE_CLOCK_AND_RANDOM)
             for text in library:
                 found.eval(text)
             self._contexts[library] = found
@@ -163,7 +163,7 @@
         self._javascript = javascript
         self._library = tuple(library)
 
-    def _one(self, text: str, names: dict[str, Any]) -> Any:
+    def _evaluate_expression(self, text: str, names: dict[str, Any]) -> Any:
         if text.startswith("${"):
             if not self._javascript:
                 raise ExpressionError(f"{text}: the process does not ask for JavaScript")
@@ -171,7 +171,7 @@
         inner = text[2:-1].strip()
         if not self._javascript or (_REFERENCE.match(inner) and inner.split(".")[0].split("[")[0] in names):
             try:
-                return _refer(inner, names, text)
+                return _resolve_reference(inner, names, text)
             except ExpressionError:
                 if not self._javascript:
                     raise
@@ -183,11 +183,11 @@
             return text
         if not needs_evaluation(text):
             return text.replace("\\\\", "\\") if "\\\\" in text else text
-        found = parts(text.strip() if text.strip().startswith(("$(", "${")) else text)
+        found = split_expressions(text.strip() if text.strip().startswith(("$(", "${")) else text)
         if len(found) == 1 and found[0][0]:
-            return self._one(found[0][1], names)
+            return self._evaluate_expression(found[0][1], names)
         made = ""
         for is_expression, part in found:
-            value = self._one(part, names) if is_expression else part
+            value = self._evaluate_expression(part, names) if is_expression else part
             made += value if isinstance(value, str) else msgspec.json.encode(value).decode()
         return made
--- a/winglift/flows/files.py
+++ b/winglift/flows/files.py
@@ -60,10 +60,10 @@
             raise FilesError(f"store of uploads: another content under {digest}")
         return content
 
-    async def describe(self, job: str, page: int, works: list[flow_messages.TaskDescription]) -> None:
+    async def put_task_descriptions(self, job: str, page: int, works: list[flow_messages.TaskDescription]) -> None:
         await self._call("PUT", f"/tasks/{job}/{page}", flow_messages.encode(works))
 
-    async def found(self, job: str, failed: bool = False) -> list[flow_messages.TaskResultItem]:
+    async def task_results(self, job: str, failed: bool = False) -> list[flow_messages.TaskResultItem]:
         items: list[flow_messages.TaskResultItem] = []
         while True:
             after = items[-1].number if items else -1
--- a/winglift/flows/graph.py
+++ b/winglift/flows/graph.py
@@ -33,7 +33,7 @@
     """
     nodes: dict[str, Node] = {}
 
-    def lay(
+    def expand(
         key: str,
         path: str,
         given: dict[str, set[str]],
@@ -56,12 +56,14 @@
             )
         behind = {p.name: given.get(p.name, set()) for p in process.inputs}
         own = process.hints.with_defaults(hints)
-        missing = {step.name: {s for i in step.inputs for s in i.source if s not in behind} for step in process.steps}
+        missing_sources = {
+            step.name: {s for i in step.inputs for s in i.source if s not in behind} for step in process.steps
+        }
         takers: dict[str, list[Step]] = {}
         for step in process.steps:
-            for source in missing[step.name]:
+            for source in missing_sources[step.name]:
                 takers.setdefault(source, []).append(step)
-        ready = [step for step in process.steps if not missing[step.name]]
+        ready = [step for step in process.steps if not missing_sources[step.name]]
         for step in ready:
             here = f"{path}/{step.name}" if path else step.name
             sources = {i.name: set().union(*(behind[s] for s in i.source)) for i in step.inputs}
@@ -70,7 +72,7 @@
             wide = scattered or bool(step.scatter)
             target = plan.processes[step.run]
             if isinstance(target, Workflow):
-                found = lay(step.run, here, sources, step.hints.with_defaults(own), wide, parents, (*outer, key))
+                found = expand(step.run, here, sources, step.hints.with_defaults(own), wide, parents, (*outer, key))
                 made = {f"{step.name}/{name}": found.get(name, set()) for name in step.outputs}
             else:
                 said = target.hints if isinstance(target, Tool) else Hints(run_s=0.0)
@@ -79,21 +81,21 @@
             behind.update(made)
             for source in made:
                 for other in takers.get(source, ()):
-                    missing[other.name].discard(source)
-                    if not missing[other.name]:
+                    missing_sources[other.name].discard(source)
+                    if not missing_sources[other.name]:
                         ready.append(other)
-        circle = sorted(name for name, left in missing.items() if left)
+        circle = sorted(name for name, left in missing_sources.items() if left)
         if circle:
             raise FlowError(
                 f"{path or 'the workflow'}: the steps {', '.join(circle)} depend on one another in a circle"
             )
         return {o.name: set().union(*(behind[s] for s in o.source)) if o.source else set() for o in process.outputs}
 
-    lay(plan.main, "", {}, Hints(), False, set(), ())
+    expand(plan.main, "", {}, Hints(), False, set(), ())
     return nodes
 
 
-def lay_open(content: bytes) -> tuple[Plan, dict[str, Node]]:
+def parse_graph(content: bytes) -> tuple[Plan, dict[str, Node]]:
     """A plan and its graph. A large one takes a tenth of a second: nodes call this in a thread."""
     plan = parse_plan(content)
     return plan, graph(plan)
@@ -104,7 +106,7 @@
     return "/".join(part.partition("[")[0] for part in path.split("/"))
 
 
-class Division:
+class DeadlineDivision:
     """Divides a deadline among the steps of a graph, again and again as they end."""
 
     def __init__(self, nodes: Mapping[str, Node]) -> None:
@@ -124,11 +126,11 @@
         return split_deadline([run_s], self._parents, start, deadline, ends, self._order) if run_s else {}
 
 
-def divide(
+def divide_deadline(
     nodes: Mapping[str, Node], start: float, deadline: float, ends: Mapping[str, float], widths: Mapping[str, float]
 ) -> dict[str, float]:
-    """One division; see `Division.at`."""
-    return Division(nodes).at(start, deadline, ends, widths)
+    """One division; see `DeadlineDivision.at`."""
+    return DeadlineDivision(nodes).at(start, deadline, ends, widths)
 
 
 def critical(nodes: Mapping[str, Node]) -> list[str]:
--- a/winglift/flows/parts.py
+++ b/winglift/flows/parts.py
@@ -8,51 +8,51 @@
 from .. import constants
 from ..wire.flows import Hints, Tool
 from ..wire.users import InvalidMessage, Kind, Priority, Submission, encode, parse_submission
-from .command import Builder, Made, Size
+from .command import Builder, BuiltTask, TaskResources
 from .engine import Engine, Leaf
-from .values import FlowError, bare, digest, job_ref
+from .values import FlowError, digest, job_ref, strip_run_details
 
 
 @dataclass(slots=True)
-class Part:
+class StepJob:
     """Elements of a step that are alike in size: one job, a task each."""
 
     ref: str
-    size: Size
+    size: TaskResources
     places: list[int]  # numbers among the step's elements that run
-    made: list[Made]
+    made: list[BuiltTask]
 
 
-def builder(engine: Engine, leaf: Leaf, place: int) -> Builder:
+def task_builder(engine: Engine, leaf: Leaf, place: int) -> Builder:
     tool = engine.plan.processes[leaf.process]
     assert isinstance(tool, Tool)
     where = leaf.path if leaf.node.shape is None else f"{leaf.path}[{leaf.node.places[place]}]"
     return Builder(tool, leaf.elements[place], engine.evaluator(leaf.process), where)
 
 
-async def parts(engine: Engine, flow: str, leaf: Leaf) -> list[Part]:
+async def build_step_jobs(engine: Engine, flow: str, leaf: Leaf) -> list[StepJob]:
     """The jobs of a step, always the same ones. Wide steps let others run in between."""
-    found: dict[tuple[Size, int], Part] = {}
-    counts: dict[Size, int] = {}
+    found: dict[tuple[TaskResources, int], StepJob] = {}
+    counts: dict[TaskResources, int] = {}
     for place in range(len(leaf.elements)):
         if place % 20 == 19:
             await asyncio.sleep(0)
-        made = builder(engine, leaf, place).build()
+        made = task_builder(engine, leaf, place).build()
         counts[made.size] = counts.get(made.size, 0) + 1
         key = made.size, (counts[made.size] - 1) // constants.TASKS_PER_JOB_MAX
         if key not in found:
-            found[key] = Part(job_ref(flow, leaf.path, len(found)), made.size, [], [])
+            found[key] = StepJob(job_ref(flow, leaf.path, len(found)), made.size, [], [])
         found[key].places.append(place)
         found[key].made.append(made)
     return list(found.values())
 
 
-def key_of(engine: Engine, leaf: Leaf) -> str:
+def reuse_key(engine: Engine, leaf: Leaf) -> str:
     """Equal for steps that would do the same with the same files."""
-    return digest(engine.plan.processes[leaf.process], [bare(e) for e in leaf.elements])
+    return digest(engine.plan.processes[leaf.process], [strip_run_details(e) for e in leaf.elements])
 
 
-def submission(part: Part, tool: Tool, hints: Hints, team: str, due_s: float | None, where: str) -> Submission:
+def build_submission(part: StepJob, tool: Tool, hints: Hints, team: str, due_s: float | None, where: str) -> Submission:
     """A part as the job that a user would submit for the same work."""
     try:
         priority = Priority(hints.priority or Priority.NORMAL)
--- a/winglift/flows/records.py
+++ b/winglift/flows/records.py
@@ -17,10 +17,10 @@
 T = TypeVar("T")
 
 HEAD = "flow/"
-STEP = "flowstep/"
+STEP_KEY_PREFIX = "flowstep/"
 
 
-class Head(msgspec.Struct, omit_defaults=True):
+class Head(msgspec.Struct, omit_defaults=True, rename={"jobs_cancelled": "tidy", "steps_removed": "swept"}):
     """`tidy`: all jobs of a workflow that ended early are known to be cancelled. `swept`: its step records are
     removed."""
 
@@ -30,8 +30,8 @@
     cause: str = ""
     errors: str = ""
     outputs: str | None = None
-    tidy: bool = False
-    swept: bool = False
+    jobs_cancelled: bool = False
+    steps_removed: bool = False
 
 
 class StepRecord(msgspec.Struct, omit_defaults=True):
@@ -49,8 +49,8 @@
     tasks: int = 1
 
 
-_heads = msgspec.json.Decoder(Head)
-_steps = msgspec.json.Decoder(StepRecord)
+_flow_decoder = msgspec.json.Decoder(Head)
+_step_decoder = msgspec.json.Decoder(StepRecord)
 
 
 def _decode(decoder: msgspec.json.Decoder[T], value: bytes | msgspec.Raw) -> T:
@@ -61,14 +61,14 @@
 
 
 def decode_head(value: bytes | msgspec.Raw) -> Head:
-    return _decode(_heads, value)
+    return _decode(_flow_decoder, value)
 
 
 def decode_step(value: bytes | msgspec.Raw) -> StepRecord:
-    return _decode(_steps, value)
+    return _decode(_step_decoder, value)
 
 
-def bounded(text: str) -> str:
+def truncate_to_tail(text: str) -> str:
     """The end of a text, as much as a record keeps: counted as it is written, where a byte may take six."""
     text = text[-constants.FLOW_ERROR_MAX_BYTES :]
     while len(msgspec.json.encode(text)) > constants.FLOW_ERROR_MAX_BYTES:
@@ -77,7 +77,7 @@
 
 
 def step_prefix(flow: str) -> str:
-    return f"{STEP}{flow}/"
+    return f"{STEP_KEY_PREFIX}{flow}/"
 
 
 def step_key(flow: str, path: str) -> str:
@@ -85,15 +85,15 @@
     return step_prefix(flow) + job_ref(flow, path, "step").removeprefix("wk-")
 
 
-def reply(head: Head, **more: Any) -> FlowReply:
+def build_reply(record: Head, **more: Any) -> FlowReply:
     return FlowReply(
-        head.sub.ref,
-        head.state,
-        head.sub.team,
-        head.submitted,
-        head.sub.plan,
-        head.cause,
-        head.errors,
-        head.outputs,
+        record.sub.ref,
+        record.state,
+        record.sub.team,
+        record.submitted,
+        record.sub.plan,
+        record.cause,
+        record.errors,
+        record.outputs,
         **more,
     )
--- a/winglift/flows/run.py
+++ b/winglift/flows/run.py
@@ -28,68 +28,68 @@
 from . import records
 from .engine import Engine, Leaf, Needs
 from .files import FilesError
-from .graph import Division, Node, lay_open, plain
+from .graph import DeadlineDivision, Node, parse_graph, plain
 from .leader import Leader, StepFailed, Superseded
-from .parts import Part, builder, key_of, parts, submission
+from .parts import StepJob, build_step_jobs, build_submission, reuse_key, task_builder
 from .values import FlowError
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
-class Open:
+class SubmittedStep:
     """A step whose jobs are submitted."""
 
     leaf: Leaf
-    parts: list[Part]
+    parts: list[StepJob]
     key: str
-    look_at: float = 0.0  # when its failures are looked at next
+    next_failure_check: float = 0.0  # when its failures are looked at next
 
 
-class Run:
-    def __init__(self, leader: Leader, head: records.Head, version: int) -> None:
+class FlowRun:
+    def __init__(self, leader: Leader, flow_record: records.Head, version: int) -> None:
         self.leader = leader
-        self.ref = head.sub.ref
-        self.head = head
+        self.ref = flow_record.sub.ref
+        self.flow_record = flow_record
         self.version = version
         self.engine: Engine | None = None
         self.nodes: dict[str, Node] = {}
-        self.waiting: deque[Leaf] = deque()
-        self.open: dict[str, Open] = {}
-        self.records: dict[str, records.StepRecord] = {}
-        self.reuse: dict[str, records.StepRecord] = {}
-        self._ends: dict[str, float] = {}  # by path in the graph: when the last instance ended
-        self._machines: dict[str, set[str]] = {}
-        self._widths: dict[str, float] = {}
-        self._division = Division({})
-        self._dues: dict[str, float] | None = None  # sub-deadlines by what has ended so far
-        self._inbox: deque[Leaf] = deque()
-        self._doubtful: set[str] = set()  # steps whose jobs may exist already
+        self.unsubmitted: deque[Leaf] = deque()
+        self.submitted: dict[str, SubmittedStep] = {}
+        self.step_records: dict[str, records.StepRecord] = {}
+        self.reusable_records: dict[str, records.StepRecord] = {}
+        self._finish_times: dict[str, float] = {}  # by path in the graph: when the last instance ended
+        self._machines_by_step: dict[str, set[str]] = {}
+        self._scatter_rounds: dict[str, float] = {}
+        self._division = DeadlineDivision({})
+        self._sub_deadlines: dict[str, float] | None = None  # sub-deadlines by what has ended so far
+        self._unsorted_leaves: deque[Leaf] = deque()
+        self._possibly_submitted: set[str] = set()  # steps whose jobs may exist already
 
     # -- building it again ---------------------------------------------------------------------
 
     async def load(self) -> None:
-        leader, sub = self.leader, self.head.sub
-        plan, self.nodes = await asyncio.to_thread(lay_open, await leader.files.get(sub.plan))
+        leader, sub = self.leader, self.flow_record.sub
+        plan, self.nodes = await asyncio.to_thread(parse_graph, await leader.files.get(sub.plan))
         order = msgspec.json.decode(await leader.files.get(sub.order))
         if not isinstance(order, dict):
             raise FlowError("the order is no object")
-        self._division = Division(self.nodes)
-        for flow, found in ((self.ref, self.records), (sub.reuse, self.reuse)):
+        self._division = DeadlineDivision(self.nodes)
+        for flow, found in ((self.ref, self.step_records), (sub.reuse, self.reusable_records)):
             if flow is not None:
                 for item in (await leader.state.list(records.step_prefix(flow)))[0]:
                     record = records.decode_step(item.value)
-                    if found is self.records:
+                    if found is self.step_records:
                         found[record.path] = record
                     elif record.how is StepOutcome.DONE and record.key:
                         found[record.key] = record
         self.engine = Engine(plan, order, leader.engines)
-        await self._follow(self.engine.start)
-        await self._settle()
+        await self._advance_engine(self.engine.start)
+        await self._sort_leaves()
         # Which of these were submitted by an earlier leader, only their records tell.
-        self._doubtful = {leaf.path for leaf in self.waiting}
+        self._possibly_submitted = {leaf.path for leaf in self.unsubmitted}
 
-    async def _follow(self, call: Callable[[], object] | None = None) -> None:
+    async def _advance_engine(self, call: Callable[[], object] | None = None) -> None:
         """Let the engine go on, with the contents that it asks for; what can run then lies in the inbox."""
         assert self.engine is not None
         try:
@@ -110,23 +110,23 @@
                         ) from None
                     self.engine.contents[need.digest] = content.decode(errors="replace")
         finally:
-            self._inbox.extend(self.engine.take())
+            self._unsorted_leaves.extend(self.engine.take())
 
-    async def _settle(self) -> None:
+    async def _sort_leaves(self) -> None:
         """Sort what can run into what has ended already, and so leads on, and what is to be run."""
         looked = 0
-        while self._inbox:
+        while self._unsorted_leaves:
             looked += 1
             if looked % constants.FLOW_STEP_BATCH_MAX == 0:
                 await asyncio.sleep(0)
-            leaf = self._inbox.popleft()
-            record = self.records.get(leaf.path)
+            leaf = self._unsorted_leaves.popleft()
+            record = self.step_records.get(leaf.path)
             if record is None or record.how is StepOutcome.FAILED:
-                self.waiting.append(leaf)
+                self.unsubmitted.append(leaf)
             else:
-                await self._take_end(leaf, record)
+                await self._apply_step_record(leaf, record)
 
-    async def _take_end(self, leaf: Leaf, record: records.StepRecord) -> None:
+    async def _apply_step_record(self, leaf: Leaf, record: records.StepRecord) -> None:
         """A step has ended and its record is committed: what follows from it."""
         assert self.engine is not None
         results = record.results
@@ -135,21 +135,21 @@
             try:
                 results = msgspec.json.decode(await self.leader.files.get(record.digest), type=list[dict[str, Any]])
             except FilesError:
-                self._inbox.appendleft(leaf)
+                self._unsorted_leaves.appendleft(leaf)
                 raise
         path = plain(leaf.path)
-        self._ends[path] = max(self._ends.get(path, 0.0), record.ended)
-        self._dues = None
-        self._machines.setdefault(path, set()).update(record.machines)
-        self.engine.end(leaf, results)
-        await self._follow()
+        self._finish_times[path] = max(self._finish_times.get(path, 0.0), record.ended)
+        self._sub_deadlines = None
+        self._machines_by_step.setdefault(path, set()).update(record.machines)
+        self.engine.complete_step(leaf, results)
+        await self._advance_engine()
 
     # -- committing ----------------------------------------------------------------------------
 
     async def _commit(self, changes: list[Any], absent: str | None = None) -> int | None:
         """The revision; None if the key that had to be absent is there. Raises Superseded, Refused, Unknown."""
         leader = self.leader
-        conditions = [leader.leadership(), state_messages.Condition(records.HEAD + self.ref, self.version)]
+        conditions = [leader.leadership_condition(), state_messages.Condition(records.HEAD + self.ref, self.version)]
         if absent is not None:
             conditions.append(state_messages.Condition(absent, 0))
         try:
@@ -163,12 +163,12 @@
             return None
         raise Superseded(f"{self.ref}: {', '.join(result.failed)} changed")
 
-    async def _write_head(self, head: records.Head) -> None:
-        revision = await self._commit([state_messages.Put(records.HEAD + self.ref, head)])
+    async def _write_head(self, flow_record: records.Head) -> None:
+        revision = await self._commit([state_messages.Put(records.HEAD + self.ref, flow_record)])
         assert revision is not None  # no key had to be absent
-        self.head, self.version = head, revision
+        self.flow_record, self.version = flow_record, revision
 
-    async def _record(self, leaf: Leaf, record: records.StepRecord, results: list[dict[str, Any]]) -> None:
+    async def _commit_step_record(self, leaf: Leaf, record: records.StepRecord, results: list[dict[str, Any]]) -> None:
         packed = msgspec.json.encode(results)
         if len(packed) <= constants.FLOW_INLINE_OUTPUT_MAX_BYTES:
             record.results = results
@@ -176,73 +176,75 @@
             record.digest = await self.leader.files.put(packed)
         # An end is committed before anything is built on it.
         await self._commit([state_messages.Put(records.step_key(self.ref, leaf.path), record)])
-        self.records[leaf.path] = record
-        self.open.pop(leaf.path, None)
-        await self._take_end(leaf, record)
-        await self._settle()
+        self.step_records[leaf.path] = record
+        self.submitted.pop(leaf.path, None)
+        await self._apply_step_record(leaf, record)
+        await self._sort_leaves()
 
     async def finish(self, state: FlowState, cause: str = "", errors: str = "", outputs: str | None = None) -> None:
-        head = msgspec.structs.replace(
-            self.head,
+        flow_record = msgspec.structs.replace(
+            self.flow_record,
             state=state,
-            cause=records.bounded(cause),
+            cause=records.truncate_to_tail(cause),
             outputs=outputs,
-            errors=records.bounded(errors),
-            tidy=state is FlowState.DONE,
+            errors=records.truncate_to_tail(errors),
+            jobs_cancelled=state is FlowState.DONE,
         )
-        await self._write_head(head)
+        await self._write_head(flow_record)
         log.info("%s: %s%s", self.ref, state.value, f": {cause}" if cause else "")
 
-    async def step(self) -> None:
+    async def run_cycle(self) -> None:
         """One look: steps that are ready are submitted, ended ones recorded. Raises FlowError where it must fail."""
         assert self.engine is not None
-        await self._follow()
-        await self._settle()
-        while self.waiting and sum(len(o.parts) for o in self.open.values()) < self.leader.open_jobs:
-            leaf = self.waiting.popleft()
+        await self._advance_engine()
+        await self._sort_leaves()
+        while self.unsubmitted and sum(len(o.parts) for o in self.submitted.values()) < self.leader.open_jobs_max:
+            leaf = self.unsubmitted.popleft()
             try:
-                await self._launch(leaf)
+                await self._start_step(leaf)
             except BaseException:
-                if leaf.path not in self.records:
-                    self.waiting.appendleft(leaf)
+                if leaf.path not in self.step_records:
+                    self.unsubmitted.appendleft(leaf)
                 raise
-            self._doubtful.discard(leaf.path)
-        for found in list(self.open.values()):
-            await self._look(found)
-        if self.engine.outputs is not None and not self.open and not self.waiting:
+            self._possibly_submitted.discard(leaf.path)
+        for found in list(self.submitted.values()):
+            await self._check_step(found)
+        if self.engine.outputs is not None and not self.submitted and not self.unsubmitted:
             outputs = await self.leader.files.put(msgspec.json.encode(self.engine.outputs))
             await self.finish(FlowState.DONE, outputs=outputs)
 
-    async def _launch(self, leaf: Leaf) -> None:
+    async def _start_step(self, leaf: Leaf) -> None:
         assert self.engine is not None
         if len(leaf.path.encode()) > constants.FLOW_STEP_PATH_MAX_BYTES:
             raise FlowError(f"{leaf.path[:60]}…: a path of more than {constants.FLOW_STEP_PATH_MAX_BYTES} bytes")
         process = self.engine.plan.processes[leaf.process]
         if isinstance(process, Expression):
             results = self.engine.evaluate(leaf)
-            await self._record(leaf, records.StepRecord(leaf.path, StepOutcome.DONE, wall_time()), results)
+            await self._commit_step_record(leaf, records.StepRecord(leaf.path, StepOutcome.DONE, wall_time()), results)
             return
         assert isinstance(process, Tool)
-        key = key_of(self.engine, leaf)
-        known = self.reuse.get(key)
+        key = reuse_key(self.engine, leaf)
+        known = self.reusable_records.get(key)
         if known is not None:
             record = msgspec.structs.replace(known, path=leaf.path, ended=wall_time())
             await self._commit([state_messages.Put(records.step_key(self.ref, leaf.path), record)])
-            self.records[leaf.path] = record
-            log.info("%s: %s is taken over from %s", self.ref, leaf.path, self.head.sub.reuse)
-            await self._take_end(leaf, record)
-            await self._settle()
+            self.step_records[leaf.path] = record
+            log.info("%s: %s is taken over from %s", self.ref, leaf.path, self.flow_record.sub.reuse)
+            await self._apply_step_record(leaf, record)
+            await self._sort_leaves()
             return
-        found = Open(leaf, await parts(self.engine, self.ref, leaf), key)
-        due = self._due(leaf, found.parts)
-        near = frozenset().union(*(self._machines.get(p, set()) for p in self.nodes[plain(leaf.path)].parents))
+        found = SubmittedStep(leaf, await build_step_jobs(self.engine, self.ref, leaf), key)
+        due = self._sub_deadline(leaf, found.parts)
+        preferred_machines = frozenset().union(
+            *(self._machines_by_step.get(p, set()) for p in self.nodes[plain(leaf.path)].parents)
+        )
         for part in found.parts:
-            await self._submit(part, process, leaf, due, near)
-        self.open[leaf.path] = found
+            await self._submit_job(part, process, leaf, due, preferred_machines)
+        self.submitted[leaf.path] = found
 
-    def _due(self, leaf: Leaf, found: list[Part]) -> float | None:
+    def _sub_deadline(self, leaf: Leaf, found: list[StepJob]) -> float | None:
         """Sub-deadline of a step, of the whole divided anew by what is known now: time of day, or None."""
-        sub = self.head.sub
+        sub = self.flow_record.sub
         path = plain(leaf.path)
         team = next((t for t in self.leader.settings.settings.teams if t.name == (leaf.hints.team or sub.team)), None)
         rows = 0.0
@@ -258,31 +260,33 @@
             )
             rows += max(1.0, len(part.places) / max(1.0, min(places, default=len(part.places))))
         if rows > 1.0:
-            self._widths[path] = max(self._widths.get(path, 1.0), rows)
-            self._dues = None
+            self._scatter_rounds[path] = max(self._scatter_rounds.get(path, 1.0), rows)
+            self._sub_deadlines = None
         if leaf.hints.deadline_s is not None:
             return wall_time() + leaf.hints.deadline_s
         if sub.due_s is None:
             return None
-        if self._dues is None:
-            begin = self.head.submitted
-            self._dues = self._division.at(begin, begin + sub.due_s, self._ends, self._widths)
-        return self._dues[path]
+        if self._sub_deadlines is None:
+            begin = self.flow_record.submitted
+            self._sub_deadlines = self._division.at(begin, begin + sub.due_s, self._finish_times, self._scatter_rounds)
+        return self._sub_deadlines[path]
 
-    async def _submit(self, part: Part, tool: Tool, leaf: Leaf, due: float | None, near: frozenset[str]) -> None:
+    async def _submit_job(
+        self, part: StepJob, tool: Tool, leaf: Leaf, due: float | None, preferred_machines: frozenset[str]
+    ) -> None:
         leader = self.leader
         now = wall_time()
-        spec = submission(
-            part, tool, leaf.hints, self.head.sub.team, None if due is None else max(0.0, due - now), leaf.path
+        spec = build_submission(
+            part, tool, leaf.hints, self.flow_record.sub.team, None if due is None else max(0.0, due - now), leaf.path
         )
-        types = leader.types()
+        types = leader.machine_types()
         if not types:
             raise RequestRejected("machine types are not known yet")
         why = infeasible_reason(spec, leader.settings, types)
         if why is not None:
             raise FlowError(f"{leaf.path}: can never run: {why}")
-        doubtful = leaf.path in self._doubtful
-        self._doubtful.add(leaf.path)
+        doubtful = leaf.path in self._possibly_submitted
+        self._possibly_submitted.add(leaf.path)
         known = await leader.state.get(job_records.JOB_PREFIX + part.ref) if doubtful else None
         if known is None:
             # What a worker needs lies ready before the job exists.
@@ -290,17 +294,17 @@
                 await leader.files.put(content)
             works = [made.work for made in part.made]
             for page in range(0, len(works), constants.FLOW_UPLOAD_TASKS):
-                await leader.files.describe(
+                await leader.files.put_task_descriptions(
                     part.ref,
                     page // constants.FLOW_UPLOAD_TASKS,
                     works[page : page + constants.FLOW_UPLOAD_TASKS],
                 )
-            leader.near(part.ref, near or None)
+            leader.set_preferred_machines(part.ref, preferred_machines or None)
             record = job_records.new_record(spec, now)
             condition, put = job_records.build_record_write(part.ref, 0, JobState.OPEN, record)
             revision = await self._commit([put], absent=condition.key)
             if revision is not None:
-                leader.take_job(part.ref, revision, record)
+                leader.apply_job_record(part.ref, revision, record)
                 log.debug("%s: %s is %s, %d tasks", self.ref, leaf.path, part.ref, spec.tasks)
                 return
             known = await leader.state.get(job_records.JOB_PREFIX + part.ref)
@@ -309,7 +313,7 @@
             if (there.team, there.tasks, there.image) != (spec.team, spec.tasks, spec.image):
                 raise FlowError(f"{leaf.path}: the id {part.ref} belongs to another job")
 
-    async def _look(self, found: Open) -> None:
+    async def _check_step(self, found: SubmittedStep) -> None:
         """Has a step ended?"""
         ended = 0
         for part in found.parts:
@@ -330,12 +334,12 @@
         results: list[dict[str, Any]] = [{} for _ in found.leaf.elements]
         machines: set[str] = set()
         for part in found.parts:
-            items = {i.number: i for i in await self.leader.files.found(part.ref)}
-            self.leader.near(part.ref, None)
+            items = {i.number: i for i in await self.leader.files.task_results(part.ref)}
+            self.leader.set_preferred_machines(part.ref, None)
             for number, place in enumerate(part.places):
                 if number not in items:
                     raise FlowError(f"{found.leaf.path}: the results of {part.ref}/{number} are missing")
-                results[place] = await self._collect(found, place, items[number])
+                results[place] = await self._collect_outputs(found, place, items[number])
                 machines.add(items[number].found.machine)
         record = records.StepRecord(
             found.leaf.path,
@@ -346,26 +350,26 @@
             jobs=[p.ref for p in found.parts][:20],
             tasks=len(results),
         )
-        await self._record(found.leaf, record, results)
+        await self._commit_step_record(found.leaf, record, results)
 
-    async def _collect(self, found: Open, place: int, item: TaskResultItem) -> dict[str, Any]:
+    async def _collect_outputs(self, found: SubmittedStep, place: int, item: TaskResultItem) -> dict[str, Any]:
         assert self.engine is not None
         if place % 20 == 19:
             await asyncio.sleep(0)
-        made = builder(self.engine, found.leaf, place)
+        made = task_builder(self.engine, found.leaf, place)
         made.build()
         try:
             return made.collect(item.found)
         except FlowError as err:
             raise StepFailed(str(err), item.found.errors) from None
 
-    async def _check_failures(self, found: Open, part: Part) -> None:
+    async def _check_failures(self, found: SubmittedStep, part: StepJob) -> None:
         """A command that fails on one machine may be the machine's fault; on several it is its own."""
-        if monotonic_time() < found.look_at:
+        if monotonic_time() < found.next_failure_check:
             return
-        found.look_at = monotonic_time() + 1.0
+        found.next_failure_check = monotonic_time() + 1.0
         by_task: dict[int, dict[str, TaskResultItem]] = {}
-        for item in await self.leader.files.found(part.ref, failed=True):
+        for item in await self.leader.files.task_results(part.ref, failed=True):
             by_task.setdefault(item.number, {})[item.found.machine] = item
         for number, machines in by_task.items():
             if len(machines) >= constants.FLOW_STEP_FAILED_MACHINES:
@@ -379,22 +383,22 @@
                 await self._commit([state_messages.Put(records.step_key(self.ref, leaf.path), record)])
                 raise StepFailed(f"{where}: {why} on {len(machines)} machines", last.errors)
 
-    async def tidy(self) -> None:
+    async def cancel_open_jobs(self) -> None:
         """Cancel what is still open of a workflow that has ended early; then the head says so."""
         while self.engine is not None:
             # Steps behind one that can't be prepared may have been submitted by an earlier leader.
             try:
-                await self._follow()
-                await self._settle()
+                await self._advance_engine()
+                await self._sort_leaves()
                 break
             except FlowError as err:
                 log.debug("%s: %s", self.ref, err)
-        for leaf in [*self.waiting, *(o.leaf for o in self.open.values())]:
+        for leaf in [*self.unsubmitted, *(o.leaf for o in self.submitted.values())]:
             if self.engine is not None and isinstance(self.engine.plan.processes[leaf.process], Tool):
                 try:
-                    found = await parts(self.engine, self.ref, leaf)
+                    found = await build_step_jobs(self.engine, self.ref, leaf)
                 except FlowError:
                     continue  # it never was submitted: its commands can't be built
                 for part in found:
-                    await self.leader.cancel(part.ref)
-        await self._write_head(msgspec.structs.replace(self.head, tidy=True))
+                    await self.leader.cancel_job(part.ref)
+        await self._write_head(msgspec.structs.replace(self.flow_record, jobs_cancelled=True))
--- a/winglift/flows/service.py
+++ b/winglift/flows/service.py
@@ -23,7 +23,7 @@
 from .driver import Driver
 from .expressions import Engines
 from .files import Files, FilesError, Missing
-from .graph import Node, lay_open, plain
+from .graph import Node, parse_graph, plain
 from .settings import FlowSettings
 from .sweep import OldSteps
 from .values import FlowError, job_ref
@@ -38,7 +38,7 @@
     state: StateClient
 
 
-class Unlike(Exception):
+class FlowIdConflict(Exception):
     """The id belongs to another workflow (409)."""
 
 
@@ -57,7 +57,11 @@
 
     def routes(self) -> list[tuple]:
         args = {"node": self.node, "flows": self}
-        return [(r"/flows", Submit, args), (r"/flows/([^/]*)", Status, args), (r"/flows/([^/]*)/abort", Cancel, args)]
+        return [
+            (r"/flows", FlowsHandler, args),
+            (r"/flows/([^/]*)", FlowStatusHandler, args),
+            (r"/flows/([^/]*)/abort", FlowCancellationHandler, args),
+        ]
 
     def on_leadership_gained(self, controller: LeaderTerm) -> None:
         self.driver = Driver(controller, self.jobs, self.files, self.engines, self.settings)
@@ -73,12 +77,12 @@
     async def _graph(self, plan: str) -> dict[str, Node]:
         """The steps of a plan; raises Invalid, FlowError, FilesError."""
         if plan not in self._graphs:
-            self._graphs[plan] = (await asyncio.to_thread(lay_open, await self.files.get(plan)))[1]
+            self._graphs[plan] = (await asyncio.to_thread(parse_graph, await self.files.get(plan)))[1]
             while len(self._graphs) > 1 and sum(map(len, self._graphs.values())) > constants.FLOW_STEPS_MAX:
                 self._graphs.popitem(last=False)
         return self._graphs[plan]
 
-    async def _head(self, ref: str) -> tuple[records.Head, int] | None:
+    async def _read_record(self, ref: str) -> tuple[records.Head, int] | None:
         try:
             item = await self.node.state.get(records.HEAD + ref, timeout=constants.STATUS_TIMEOUT_S)
         except (RequestRejected, OutcomeUnknown) as err:
@@ -87,7 +91,7 @@
 
     async def submit(self, sub: FlowSubmission) -> tuple[int, FlowReply]:
         """Accept a workflow: 201 once it is committed (invariant 4), 200 if it is known already."""
-        known = await self._head(sub.ref)
+        known = await self._read_record(sub.ref)
         if known is None:
             if all(t.name != sub.team for t in self.node.settings.settings.teams):
                 raise Unschedulable(f"team: unknown team {sub.team}")
@@ -101,64 +105,66 @@
             except FilesError as err:
                 raise TemporarilyUnavailable(str(err)) from None
             if sub.reuse is not None:
-                earlier = await self._head(sub.reuse)
+                earlier = await self._read_record(sub.reuse)
                 # What another team's workflow has found is nobody else's to see.
                 if earlier is None or earlier[0].sub.team != sub.team:
                     raise Unschedulable(f"reuse: {sub.team} has no workflow {sub.reuse}")
-            head = records.Head(sub, wall_time())
+            record = records.Head(sub, wall_time())
             key = records.HEAD + sub.ref
-            txn = state_messages.Transaction([state_messages.Condition(key, 0)], [state_messages.Put(key, head)])
+            txn = state_messages.Transaction([state_messages.Condition(key, 0)], [state_messages.Put(key, record)])
             try:
                 result = await self.node.state.commit(txn, timeout=constants.SUBMIT_TIMEOUT_S)
             except (RequestRejected, OutcomeUnknown) as err:
                 # Taken or not: the user asks again, and the same id tells.
                 raise TemporarilyUnavailable(str(err)) from None
             if isinstance(result, state_messages.Committed):
-                return 201, records.reply(head)
-            known = await self._head(sub.ref)
+                return 201, records.build_reply(record)
+            known = await self._read_record(sub.ref)
             if known is None:
                 raise TemporarilyUnavailable("the state service contradicts itself")
         if known[0].sub != sub:
-            raise Unlike(f"ref: {sub.ref} belongs to another workflow")
-        return 200, records.reply(known[0])
+            raise FlowIdConflict(f"ref: {sub.ref} belongs to another workflow")
+        return 200, records.build_reply(known[0])
 
     async def status(self, ref: str, start: int | None) -> FlowReply | None:
         """A workflow's state, with a page of its steps from `start` on; None: without them."""
-        known = await self._head(ref)
+        known = await self._read_record(ref)
         if known is None:
             return None
-        head = known[0]
+        record = known[0]
         if start is None:
-            return records.reply(head)
+            return records.build_reply(record)
         try:
             items = (await self.node.state.list(records.step_prefix(ref)))[0]
-            nodes = await self._graph(head.sub.plan)
+            nodes = await self._graph(record.sub.plan)
         except (RequestRejected, OutcomeUnknown, FilesError) as err:
             raise TemporarilyUnavailable(str(err)) from None
         except (InvalidMessage, FlowError):
-            return records.reply(head)
+            return records.build_reply(record)
         ended = [records.decode_step(item.value) for item in items]
         over = {plain(r.path) for r in ended}
         steps = [
             StepReply(r.path, r.how.value, r.tasks, r.tasks if r.how is StepOutcome.DONE else 0, r.jobs) for r in ended
         ]
         steps += [
-            StepReply(path, "skipped" if head.state is FlowState.DONE else "waiting", 0)
+            StepReply(path, "skipped" if record.state is FlowState.DONE else "waiting", 0)
             for path in nodes
             if path not in over
         ]
         order = {path: number for number, path in enumerate(nodes)}
         steps.sort(key=lambda s: (order.get(plain(s.path), 0), s.path))
         page = steps[start : start + constants.FLOW_STEPS_PER_PAGE_MAX]
-        if head.state is FlowState.OPEN:
+        if record.state is FlowState.OPEN:
             page = [
-                (await self._open(ref, s.path) or s) if s.state == "waiting" and nodes[s.path].parents <= over else s
+                (await self._running_step(ref, s.path) or s)
+                if s.state == "waiting" and nodes[s.path].parents <= over
+                else s
                 for s in page
             ]
         later = start + len(page)
-        return records.reply(head, steps=page, next=later if later < len(steps) else None)
+        return records.build_reply(record, steps=page, next=later if later < len(steps) else None)
 
-    async def _open(self, ref: str, path: str) -> StepReply | None:
+    async def _running_step(self, ref: str, path: str) -> StepReply | None:
         job = job_ref(ref, path, 0)
         found = await self.jobs.status(job)
         if found is None:
@@ -168,31 +174,31 @@
             path, "running" if running else "queued", (found.done or 0) + (found.running or 0), found.done or 0, [job]
         )
 
-    async def listing(self, after: str) -> flow_messages.FlowList:
+    async def list_flows(self, after: str) -> flow_messages.FlowList:
         try:
             items, _ = await self.node.state.list(records.HEAD)
         except (RequestRejected, OutcomeUnknown) as err:
             raise TemporarilyUnavailable(str(err)) from None
         later = [i for i in items if i.key > records.HEAD + after]
-        found = [records.reply(records.decode_head(i.value)) for i in later[: constants.FLOWS_PER_PAGE_MAX]]
+        found = [records.build_reply(records.decode_head(i.value)) for i in later[: constants.FLOWS_PER_PAGE_MAX]]
         return flow_messages.FlowList(found, len(later) > constants.FLOWS_PER_PAGE_MAX, self.settings.files)
 
     async def cancel(self, ref: str) -> FlowReply | None:
         """Answered once it is committed (invariant 4). From then on nothing of it is submitted; the leader cancels the
         jobs that are open."""
         for _ in range(constants.CANCELLATION_ATTEMPTS_MAX):
-            known = await self._head(ref)
+            known = await self._read_record(ref)
             if known is None:
                 return None
-            head, version = known
-            if head.state is not FlowState.OPEN:
-                return records.reply(head)
-            head.state = FlowState.CANCELLED
+            record, version = known
+            if record.state is not FlowState.OPEN:
+                return records.build_reply(record)
+            record.state = FlowState.CANCELLED
             key = records.HEAD + ref
             try:
                 result = await self.node.state.commit(
                     state_messages.Transaction(
-                        [state_messages.Condition(key, version)], [state_messages.Put(key, head)]
+                        [state_messages.Condition(key, version)], [state_messages.Put(key, record)]
                     )
                 )
             except OutcomeUnknown:
@@ -200,11 +206,11 @@
             except RequestRejected as err:
                 raise TemporarilyUnavailable(str(err)) from None
             if isinstance(result, state_messages.Committed):
-                return records.reply(head)
+                return records.build_reply(record)
         raise TemporarilyUnavailable("the workflow changes too often just now")
 
 
-class ForFlows(UserHandler):
+class FlowHandler(UserHandler):
     def initialize(self, node: ApiHost, flows: Flows) -> None:  # type: ignore[override]
         self.node = node
         self.flows = flows
@@ -212,7 +218,7 @@
     async def answer(self, ask: Callable[[], Awaitable[tuple[int, object]]]) -> None:
         try:
             await self.respond(ask, "no such workflow")
-        except Unlike as err:
+        except FlowIdConflict as err:
             self.refuse(409, str(err))
 
     def flow(self, text: str) -> str:
@@ -221,10 +227,10 @@
         return text
 
 
-class Submit(ForFlows):
+class FlowsHandler(FlowHandler):
     async def get(self) -> None:
         async def ask() -> tuple[int, object]:
-            return 200, await self.flows.listing(self.get_query_argument("after", ""))
+            return 200, await self.flows.list_flows(self.get_query_argument("after", ""))
 
         await self.answer(ask)
 
@@ -235,7 +241,7 @@
         await self.answer(ask)
 
 
-class Status(ForFlows):
+class FlowStatusHandler(FlowHandler):
     async def get(self, text: str) -> None:
         async def ask() -> tuple[int, object]:
             start = self.get_query_argument("steps", "0")
@@ -246,7 +252,7 @@
         await self.answer(ask)
 
 
-class Cancel(ForFlows):
+class FlowCancellationHandler(FlowHandler):
     async def post(self, text: str) -> None:
         async def ask() -> tuple[int, object]:
             return 200, await self.flows.cancel(self.flow(text))
--- a/winglift/flows/sweep.py
+++ b/winglift/flows/sweep.py
@@ -23,25 +23,25 @@
             return []
         found: list[Removal] = []
         now = wall_time()
-        heads, _ = await self.state.list(records.HEAD)
-        for item in heads:
+        items, _ = await self.state.list(records.HEAD)
+        for item in items:
             try:
-                head = records.decode_head(item.value)
+                record = records.decode_head(item.value)
             except records.InvalidRecord:
                 continue  # not written by this program: left alone
-            over = head.state is FlowState.DONE or head.tidy
-            if not over or head.swept or now - head.submitted < constants.GC_FLOW_STEP_RETENTION_S:
+            over = record.state is FlowState.DONE or record.jobs_cancelled
+            if not over or record.steps_removed or now - record.submitted < constants.GC_FLOW_STEP_RETENTION_S:
                 continue
-            found += await self._steps(item, head, max_changes, now)
+            found += await self._removals(item, record, max_changes, now)
             if len(found) >= constants.GC_REMOVALS_MAX:
                 return found  # the rest at the next look
         self._next = monotonic_time() + constants.GC_FLOWS_INTERVAL_S
         return found
 
-    async def _steps(
-        self, item: state_messages.Item, head: records.Head, max_changes: int, now: float
+    async def _removals(
+        self, item: state_messages.Item, record: records.Head, max_changes: int, now: float
     ) -> list[Removal]:
-        ref = head.sub.ref
+        ref = record.sub.ref
         steps, _ = await self.state.list(records.step_prefix(ref))
         for step in steps:
             try:
@@ -54,5 +54,5 @@
             return [
                 Removal(f"steps of {ref}", tuple(keys[i : i + max_changes])) for i in range(0, len(keys), max_changes)
             ]
-        head.swept = True
-        return [Removal(f"steps of {ref}", (), ((state_messages.Put(item.key, head), item.version),))]
+        record.steps_removed = True
+        return [Removal(f"steps of {ref}", (), ((state_messages.Put(item.key, record), item.version),))]
--- a/winglift/flows/values.py
+++ b/winglift/flows/values.py
@@ -54,7 +54,7 @@
     return kind
 
 
-def pick(values: Any, how: str | None, where: str) -> Any:
+def apply_pick_value(values: Any, how: str | None, where: str) -> Any:
     """CWL's pickValue."""
     if how is None:
         return values
@@ -70,21 +70,21 @@
     return there[0]
 
 
-def gather(
+def merge_sources(
     sources: Sequence[str], found: dict[str, Any], several: bool, merge: str, how: str | None, where: str
 ) -> Any:
     """What arrives over the links of one sink."""
     if not sources:
         return None
     if not several and len(sources) == 1:
-        return pick(found[sources[0]], how, where)
+        return apply_pick_value(found[sources[0]], how, where)
     values = [found[s] for s in sources]
     if merge == "merge_flattened":
         values = [v for value in values for v in (value if isinstance(value, list) else [value])]
-    return pick(values, how, where)
+    return apply_pick_value(values, how, where)
 
 
-def scatter(
+def scatter_inputs(
     names: Sequence[str], method: str, inputs: dict[str, Any], where: str
 ) -> tuple[list[dict[str, Any]], list[int]]:
     """The inputs of each element, and the shape of the result: one size, or one per input of a nested product."""
@@ -101,20 +101,22 @@
     return rows, [len(rows)] if method == "flat_crossproduct" else [len(values) for values in lists]
 
 
-def nest(values: list[Any], shape: Sequence[int]) -> list[Any]:
+def nest_values(values: list[Any], shape: Sequence[int]) -> list[Any]:
     """The values in the given shape."""
     if len(shape) <= 1:
         return values
     size = len(values) // shape[0] if shape[0] else 0
-    return [nest(values[i * size : (i + 1) * size], shape[1:]) for i in range(shape[0])]
+    return [nest_values(values[i * size : (i + 1) * size], shape[1:]) for i in range(shape[0])]
 
 
-def bare(value: Any) -> Any:
+def strip_run_details(value: Any) -> Any:
     """A value without what only one run knows (paths, locations other than the content): for comparing."""
     if isinstance(value, dict):
-        return {k: bare(v) for k, v in value.items() if k not in ("path", "dirname", "nameroot", "nameext")}
+        return {
+            k: strip_run_details(v) for k, v in value.items() if k not in ("path", "dirname", "nameroot", "nameext")
+        }
     if isinstance(value, list):
-        return [bare(v) for v in value]
+        return [strip_run_details(v) for v in value]
     return value
 
 
@@ -128,10 +130,10 @@
     return f"wk-{int(digest(*things), 16) % 10**20:020d}"
 
 
-def files_of(value: Any) -> list[dict[str, Any]]:
+def find_files(value: Any) -> list[dict[str, Any]]:
     """All files in a value."""
     if isinstance(value, dict):
         if value.get("class") == "File":
             return [value]
-        return [f for v in value.values() for f in files_of(v)]
-    return [f for v in value for f in files_of(v)] if isinstance(value, list) else []
+        return [f for v in value.values() for f in find_files(v)]
+    return [f for v in value for f in find_files(v)] if isinstance(value, list) else []
