--- a/standins/flow_leader.py
+++ b/standins/flow_leader.py
@@ -105,7 +105,7 @@
     def set_preferred_machines(self, ref: str, machines: Any) -> None:
         pass
 
-    def leadership_condition(self) -> state_messages.Condition:
+    def fence_condition(self) -> state_messages.Condition:
         return state_messages.Condition("leader", self.term)
 
     async def cancel_job(self, ref: str) -> None:
--- a/winglift/flows/command.py
+++ b/winglift/flows/command.py
@@ -29,8 +29,8 @@
 
 @dataclass(slots=True)
 class BuiltTask:
-    work: TaskDescription
-    size: TaskResources
+    description: TaskDescription
+    resources: TaskResources
     blobs: dict[str, bytes] = field(default_factory=dict)  # contents to be uploaded, by digest
 
 
--- a/winglift/flows/driver.py
+++ b/winglift/flows/driver.py
@@ -1,4 +1,4 @@
-"""Drives all workflows, at the leader: follows their heads, and one task for each that is not over."""
+"""Drives all workflows on the leader: watches their records and runs one asyncio task for each open workflow."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Driver:
-    """One per term; after `stop` it writes nothing more."""
+    """Drives the workflows for one term; after `stop` it writes nothing more."""
 
     def __init__(
         self, controller: LeaderTerm, jobs: Jobs, files: Files, engines: Engines, settings: FlowSettings
@@ -44,7 +44,7 @@
         self._jobs = jobs
         self._flow_records: dict[str, tuple[int, records.Head]] = {}
         self._drivers: dict[str, asyncio.Task[None]] = {}
-        self._wake_events: dict[str, asyncio.Event] = {}
+        self._wake_ups: dict[str, asyncio.Event] = {}
         self._task = asyncio.ensure_future(self._watch_records())
 
     def stop(self) -> None:
@@ -52,7 +52,7 @@
         for task in self._drivers.values():
             task.cancel()
 
-    # -- what runs need ------------------------------------------------------------------------
+    # -- the interface `Leader` ----------------------------------------------------------------
 
     def machine_types(self) -> dict[str, MachineType]:
         return self.controller.types
@@ -69,16 +69,16 @@
         else:
             self.controller.snapshot_builder.preferred_machines[ref] = machines
 
-    def leadership_condition(self) -> state_messages.Condition:
-        # As every leader write, on the leadership key at its revision (invariant 1).
+    def fence_condition(self) -> state_messages.Condition:
+        # Every leader write depends on the leadership key's revision: only the leader writes (invariant 1).
         if not self.controller.leadership.has_valid_lease(monotonic_time()):
-            raise RequestRejected("this node does not lead now")
+            raise RequestRejected("this node does not hold a valid leader lease")
         return self.controller.duties.fence.condition()
 
     async def cancel_job(self, ref: str) -> None:
         await self._jobs.cancel(ref)
 
-    # -- heads ---------------------------------------------------------------------------------
+    # -- records of workflows ------------------------------------------------------------------
 
     async def _watch_records(self) -> None:
         while True:
@@ -93,7 +93,7 @@
                             self._apply_flow_record(event.put, event.version, event.value)
                     revision = max(revision, changes.revision)
             except (RequestRejected, OutcomeUnknown, RevisionCompacted) as err:
-                log.debug("workflows: %s", err)
+                log.debug("workflows: watch of the records failed: %s", err)
                 await asyncio.sleep(0.5)
 
     def _apply_flow_record(self, key: str, version: int, value) -> None:  # type: ignore[no-untyped-def]
@@ -101,20 +101,20 @@
         try:
             record = records.decode_head(value)
         except records.InvalidRecord as err:
-            log.error("%s is left alone: %s", ref, err)
+            log.error("record invalid, ignored: workflow=%s error=%s", ref, err)
             return
         known = self._flow_records.get(ref)
         if known is not None and known[0] >= version:
             return
         self._flow_records[ref] = version, record
-        wake = self._wake_events.get(ref)
-        if wake is not None:
-            wake.set()
-        over = record.state is FlowState.DONE or record.jobs_cancelled
-        if not over and ref not in self._drivers:
-            self._wake_events[ref] = asyncio.Event()
+        wake_up = self._wake_ups.get(ref)
+        if wake_up is not None:
+            wake_up.set()
+        ended = record.state is FlowState.DONE or record.jobs_cancelled
+        if not ended and ref not in self._drivers:
+            self._wake_ups[ref] = asyncio.Event()
             self._drivers[ref] = asyncio.ensure_future(self._drive_workflow(ref))
-        elif over and ref not in self._drivers:
+        elif ended and ref not in self._drivers:
             del self._flow_records[ref]
 
     # -- one workflow --------------------------------------------------------------------------
@@ -128,7 +128,7 @@
                     return
                 try:
                     if run is None or run.version != version:
-                        # A change by others, or by a transaction of ours that got no answer: begin from the records.
+                        # Another node, or a transaction without an answer, has changed the record: reload.
                         run = FlowRun(self, record, version)
                         try:
                             await run.load()
@@ -146,7 +146,7 @@
                     ):
                         await run.cancel_open_jobs()
                     self._flow_records[ref] = max(
-                        self._flow_records[ref], (run.version, run.flow_record), key=lambda found: found[0]
+                        self._flow_records[ref], (run.version, run.flow_record), key=lambda versioned: versioned[0]
                     )
                 except Superseded as err:
                     log.debug("%s", err)
@@ -158,17 +158,17 @@
         except asyncio.CancelledError:
             raise
         except Exception:
-            log.exception("fault in %s", ref)
+            log.exception("%s: run failed, restarting", ref)
             await asyncio.sleep(5.0)
         finally:
             self._drivers.pop(ref, None)
-            self._wake_events.pop(ref, None)
-            found = self._flow_records.pop(ref, None)
-            if found is not None and not (found[1].state is FlowState.DONE or found[1].jobs_cancelled):
-                asyncio.get_running_loop().call_later(5.0, self._restart, ref, *found)
+            self._wake_ups.pop(ref, None)
+            versioned = self._flow_records.pop(ref, None)
+            if versioned is not None and not (versioned[1].state is FlowState.DONE or versioned[1].jobs_cancelled):
+                asyncio.get_running_loop().call_later(5.0, self._restart, ref, *versioned)
 
     def _restart(self, ref: str, version: int, record: records.Head) -> None:
-        """A run that ended by a fault begins anew, unless this term is over."""
+        """Restart a run that ended by an unexpected exception, unless this term has ended."""
         if not self._task.done() and ref not in self._drivers:
             self._apply_flow_record(records.HEAD + ref, version, job_records.encode(record))  # type: ignore[arg-type]
 
@@ -191,14 +191,14 @@
             log.debug("%s: %s", ref, err)
 
     async def _wait_for_next_cycle(self, ref: str) -> None:
-        wake = self._wake_events[ref]
-        wake.clear()
+        wake_up = self._wake_ups[ref]
+        wake_up.clear()
         try:
             async with asyncio.timeout(constants.FLOW_CYCLE_INTERVAL_S):
-                await wake.wait()
+                await wake_up.wait()
         except TimeoutError:
             pass
-        # What starts, ends and users need comes first.
+        # Task starts, task ends and users' requests have priority: wait while few writes are available.
         while (
             self.state.available_writes() < self.settings.settings.state.write_rps * constants.FLOW_SPARE_WRITES_SHARE
         ):
--- a/winglift/flows/engine.py
+++ b/winglift/flows/engine.py
@@ -56,7 +56,7 @@
     process: str
     hints: Hints
     elements: list[dict[str, Any]]  # inputs of those that run
-    node: StepInstance
+    instance: StepInstance
 
 
 @dataclass(slots=True, eq=False)
@@ -70,7 +70,7 @@
     state: StepState = StepState.WAITING
     shape: list[int] | None = None  # of the result, where it is scattered
     results: list[dict[str, Any] | None] = field(default_factory=list)  # per element; None: not there yet
-    places: list[int] = field(default_factory=list)  # numbers of the elements that run
+    indices: list[int] = field(default_factory=list)  # numbers of the elements that run
 
     def move(self, event: StepEvent) -> StepState:
         """The one place where a step changes its state."""
@@ -155,12 +155,12 @@
 
     def complete_step(self, leaf: Leaf, results: list[dict[str, Any]]) -> None:
         """A leaf has ended with these outputs, one object for each element that ran."""
-        node = leaf.node
-        if len(results) != len(node.places):
-            raise FlowError(f"{leaf.path}: {len(results)} results of {len(node.places)}")
-        for place, result in zip(node.places, results, strict=True):
-            node.results[place] = result
-        self._finish_step(node)
+        instance = leaf.instance
+        if len(results) != len(instance.indices):
+            raise FlowError(f"{leaf.path}: {len(results)} results of {len(instance.indices)}")
+        for index, result in zip(instance.indices, results, strict=True):
+            instance.results[index] = result
+        self._finish_step(instance)
 
     # -- frames --------------------------------------------------------------------------------
 
@@ -188,10 +188,10 @@
         if frame.parent is None:
             self.outputs = made
             return
-        node, place = frame.parent
-        node.results[place] = made
-        if all(r is not None for r in node.results):
-            self._finish_step(node)
+        instance, index = frame.parent
+        instance.results[index] = made
+        if all(r is not None for r in instance.results):
+            self._finish_step(instance)
 
     def _workflow_output(self, frame: Frame, out: FlowOutput) -> Any:
         where = f"{frame.path}/{out.name}" if frame.path else out.name
@@ -200,13 +200,13 @@
             raise FlowError(f"{where}: expected {describe(out.type)}")
         return value
 
-    def _finish_step(self, node: StepInstance, event: StepEvent = StepEvent.ENDED) -> None:
-        node.move(event)
-        frame = node.frame
-        for name in node.step.outputs:
-            values = [(r or {}).get(name) for r in node.results]
-            value = values[0] if node.shape is None else nest_values(values, node.shape)
-            source = f"{node.step.name}/{name}"
+    def _finish_step(self, instance: StepInstance, event: StepEvent = StepEvent.ENDED) -> None:
+        instance.move(event)
+        frame = instance.frame
+        for name in instance.step.outputs:
+            values = [(r or {}).get(name) for r in instance.results]
+            value = values[0] if instance.shape is None else nest_values(values, instance.shape)
+            source = f"{instance.step.name}/{name}"
             frame.values[source] = value
             for other in frame.waiting_by_source.pop(source, ()):
                 other.missing_sources.discard(source)
@@ -249,23 +249,23 @@
             made[param.name] = self._load_contents(value) if param.load else value
         return made
 
-    def _prepare_step(self, node: StepInstance) -> None:
+    def _prepare_step(self, instance: StepInstance) -> None:
         """A step whose inputs are all there: what is to run."""
-        step, frame = node.step, node.frame
+        step, frame = instance.step, instance.frame
         given: dict[str, Any] = {}
         for sink in step.inputs:
             value = merge_sources(
-                sink.source, frame.values, sink.several, sink.merge, sink.pick, f"{node.path}/{sink.name}"
+                sink.source, frame.values, sink.several, sink.merge, sink.pick, f"{instance.path}/{sink.name}"
             )
             value = sink.default if value is None else value
             given[sink.name] = self._load_contents(value) if sink.load else value
         rows, shape = (
-            ([given], None) if not step.scatter else scatter_inputs(step.scatter, step.method, given, node.path)
+            ([given], None) if not step.scatter else scatter_inputs(step.scatter, step.method, given, instance.path)
         )
         process = self.plan.processes[step.run]
         key = frame.key
         run: list[tuple[int, dict[str, Any]]] = []
-        for place, row in enumerate(rows):
+        for index, row in enumerate(rows):
             inputs = dict(row)
             for sink in step.inputs:
                 if sink.value_from is not None:
@@ -273,35 +273,37 @@
                         key,
                         sink.value_from,
                         {"inputs": row, "self": row[sink.name], "runtime": {}},
-                        f"{node.path}/{sink.name}",
+                        f"{instance.path}/{sink.name}",
                     )
             if step.when is not None:
-                wanted = self._evaluate_text(key, step.when, {"inputs": inputs, "self": None, "runtime": {}}, node.path)
+                wanted = self._evaluate_text(
+                    key, step.when, {"inputs": inputs, "self": None, "runtime": {}}, instance.path
+                )
                 if not isinstance(wanted, bool):
-                    raise FlowError(f"{node.path}: when gives neither true nor false")
+                    raise FlowError(f"{instance.path}: when gives neither true nor false")
                 if not wanted:
                     continue
-            run.append((place, inputs))
+            run.append((index, inputs))
         # From here on nothing can be asked for: the step's state changes once.
-        checked = [(place, self._check_inputs(process.inputs, i, node.path)) for place, i in run]
-        node.shape = shape
-        node.results = [{} for _ in rows]
-        node.places = [place for place, _ in checked]
+        checked = [(index, self._check_inputs(process.inputs, i, instance.path)) for index, i in run]
+        instance.shape = shape
+        instance.results = [{} for _ in rows]
+        instance.indices = [index for index, _ in checked]
         if not checked:
             if rows:
-                self._finish_step(node, StepEvent.SKIP)
+                self._finish_step(instance, StepEvent.SKIP)
             else:
-                node.move(StepEvent.STARTED)
-                self._finish_step(node)
+                instance.move(StepEvent.STARTED)
+                self._finish_step(instance)
             return
-        node.move(StepEvent.STARTED)
+        instance.move(StepEvent.STARTED)
         if isinstance(process, Workflow):
-            for place, _ in checked:
-                node.results[place] = None
-            for place, inputs in checked:
-                inner = node.path if shape is None else f"{node.path}[{place}]"
-                self._start_workflow(step.run, inner, inputs, step.hints.with_defaults(frame.hints), (node, place))
+            for index, _ in checked:
+                instance.results[index] = None
+            for index, inputs in checked:
+                inner = instance.path if shape is None else f"{instance.path}[{index}]"
+                self._start_workflow(step.run, inner, inputs, step.hints.with_defaults(frame.hints), (instance, index))
             return
         said = process.hints if isinstance(process, Tool) else Hints()
         hints = step.hints.with_defaults(said.with_defaults(frame.hints))
-        self._ready_leaves.append(Leaf(node.path, step.run, hints, [i for _, i in checked], node))
+        self._ready_leaves.append(Leaf(instance.path, step.run, hints, [i for _, i in checked], instance))
--- a/winglift/flows/files.py
+++ b/winglift/flows/files.py
@@ -1,9 +1,9 @@
-"""Client of the store of uploads: contents by their SHA-256, descriptions of tasks, what tasks left.
+"""Client of the upload store: contents by their SHA-256, task descriptions and task results.
 
-PUT, GET /blobs/{sha256}             a content
-PUT, GET /tasks/{job}/{page}         FLOW_UPLOAD_TASKS descriptions each; only the first upload counts
-GET /results/{job}?after=N           what tasks left that succeeded, in pages
-GET /results/{job}?failed=1          what attempts left that failed
+PUT, GET /blobs/{sha256}             one content
+PUT, GET /tasks/{job}/{page}         FLOW_UPLOAD_TASKS task descriptions a page; only the first upload of a page counts
+GET /results/{job}?after=N           results of tasks that succeeded, in pages
+GET /results/{job}?failed=1          results of failed attempts
 """
 
 from __future__ import annotations
@@ -19,14 +19,16 @@
 
 
 class FilesError(Exception):
-    """The store did not do what it was asked; it may be asked again."""
+    """A request to the upload store failed; it can be repeated."""
 
 
 class Missing(FilesError):
-    """The store does not have it."""
+    """The upload store does not have the requested content."""
 
 
 class Files:
+    """Client of the upload store."""
+
     def __init__(self, host: str, port: int) -> None:
         self._http = current_runtime().client(host, port)
         self._sent: set[str] = set()
@@ -36,18 +38,18 @@
             try:
                 reply = await self._http.request(method, path, body, constants.FILES_TIMEOUT_S)
             except Unanswered:
-                # Every request here can be repeated, and a kept connection may have been closed by the other side.
+                # All requests are idempotent, and the server may have closed a pooled connection.
                 reply = await self._http.request(method, path, body, constants.FILES_TIMEOUT_S)
         except Unanswered as err:
-            raise FilesError(f"store of uploads: {err}") from None
+            raise FilesError(f"upload store: {err}") from None
         if reply.status == 404:
-            raise Missing(f"store of uploads: no {path}")
+            raise Missing(f"upload store: not found: {path}")
         if reply.status != 200:
-            raise FilesError(f"store of uploads: {reply.status} for {path}")
+            raise FilesError(f"upload store: status {reply.status} for {path}")
         return reply.body
 
     async def put(self, content: bytes) -> str:
-        """Upload; the digest. What this client has uploaded already is not sent again."""
+        """Upload a content and return its digest. A content that this client has uploaded before is not sent again."""
         digest = hashlib.sha256(content).hexdigest()
         if digest not in self._sent:
             await self._call("PUT", f"/blobs/{digest}", content)
@@ -55,15 +57,20 @@
         return digest
 
     async def get(self, digest: str) -> bytes:
+        """Fetch a content and check its digest."""
         content = await self._call("GET", f"/blobs/{digest}")
         if hashlib.sha256(content).hexdigest() != digest:
-            raise FilesError(f"store of uploads: another content under {digest}")
+            raise FilesError(f"upload store: content does not match digest {digest}")
         return content
 
-    async def put_task_descriptions(self, job: str, page: int, works: list[flow_messages.TaskDescription]) -> None:
-        await self._call("PUT", f"/tasks/{job}/{page}", flow_messages.encode(works))
+    async def put_task_descriptions(
+        self, job: str, page: int, descriptions: list[flow_messages.TaskDescription]
+    ) -> None:
+        """Upload one page of the task descriptions of a job."""
+        await self._call("PUT", f"/tasks/{job}/{page}", flow_messages.encode(descriptions))
 
     async def task_results(self, job: str, failed: bool = False) -> list[flow_messages.TaskResultItem]:
+        """Fetch the results of the tasks of a job that succeeded, or of its failed attempts."""
         items: list[flow_messages.TaskResultItem] = []
         while True:
             after = items[-1].number if items else -1
@@ -71,7 +78,7 @@
             try:
                 page = flow_messages.task_results_decoder.decode(body)
             except msgspec.DecodeError as err:
-                raise FilesError(f"store of uploads: results of {job}: {err}") from None
+                raise FilesError(f"upload store: unreadable results of {job}: {err}") from None
             items += page.items
             if not page.more or not page.items:
                 return items
--- a/winglift/flows/leader.py
+++ b/winglift/flows/leader.py
@@ -1,4 +1,4 @@
-"""What a workflow's run needs of the node that leads, and what it says when it can't go on."""
+"""The interface between the run of a workflow and the leader, and the exceptions of a run."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class StepFailed(FlowError):
-    """A step's command has failed, not by its machine's fault."""
+    """A step has failed for a reason other than a fault of its machine."""
 
-    def __init__(self, why: str, errors: str = "") -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, errors: str = "") -> None:
+        super().__init__(reason)
         self.errors = errors
 
 
 class Superseded(Exception):
-    """Another node leads, or the head has changed: what was to be written is not."""
+    """A write was rejected because another node leads or the workflow's record has changed."""
 
 
 class Leader(Protocol):
-    """What a run needs of the node that leads."""
+    """What the run of a workflow needs from the leader."""
 
     settings: Settings
     state: StateClient
@@ -36,14 +36,26 @@
     engines: Engines
     open_jobs_max: int
 
-    def machine_types(self) -> dict[str, MachineType]: ...
+    def machine_types(self) -> dict[str, MachineType]:
+        """The known machine types by name; empty until they are known."""
+        ...
 
-    def job(self, ref: str) -> Job | None: ...
+    def job(self, ref: str) -> Job | None:
+        """The job, if the leader holds it."""
+        ...
 
-    def apply_job_record(self, ref: str, version: int, record: job_records.JobRecord) -> None: ...
+    def apply_job_record(self, ref: str, version: int, record: job_records.JobRecord) -> None:
+        """Take in the record of a job that was just committed."""
+        ...
 
-    def set_preferred_machines(self, ref: str, machines: frozenset[str] | None) -> None: ...
+    def set_preferred_machines(self, ref: str, machines: frozenset[str] | None) -> None:
+        """Prefer these machines for the job's tasks; None ends the preference."""
+        ...
 
-    def leadership_condition(self) -> state_messages.Condition: ...
+    def fence_condition(self) -> state_messages.Condition:
+        """The condition of every leader write. Raises RequestRejected if the lease is not valid."""
+        ...
 
-    async def cancel_job(self, ref: str) -> None: ...
+    async def cancel_job(self, ref: str) -> None:
+        """Cancel a job."""
+        ...
--- a/winglift/flows/parts.py
+++ b/winglift/flows/parts.py
@@ -1,4 +1,4 @@
-"""From a step that is ready to the jobs that run it: its elements grouped by what they take of a machine."""
+"""Builds the jobs of a ready step: its elements, grouped by the resources that they demand."""
 
 from __future__ import annotations
 
@@ -15,59 +15,60 @@
 
 @dataclass(slots=True)
 class StepJob:
-    """Elements of a step that are alike in size: one job, a task each."""
+    """A job of a step: the elements that demand the same resources, one task each."""
 
     ref: str
-    size: TaskResources
-    places: list[int]  # numbers among the step's elements that run
-    made: list[BuiltTask]
+    resources: TaskResources
+    indices: list[int]  # of the tasks' elements in `Leaf.elements`
+    built_tasks: list[BuiltTask]
 
 
-def task_builder(engine: Engine, leaf: Leaf, place: int) -> Builder:
+def create_task_builder(engine: Engine, leaf: Leaf, index: int) -> Builder:
+    """Create the builder of the task of one element."""
     tool = engine.plan.processes[leaf.process]
     assert isinstance(tool, Tool)
-    where = leaf.path if leaf.node.shape is None else f"{leaf.path}[{leaf.node.places[place]}]"
-    return Builder(tool, leaf.elements[place], engine.evaluator(leaf.process), where)
+    where = leaf.path if leaf.instance.shape is None else f"{leaf.path}[{leaf.instance.indices[index]}]"
+    return Builder(tool, leaf.elements[index], engine.evaluator(leaf.process), where)
 
 
 async def build_step_jobs(engine: Engine, flow: str, leaf: Leaf) -> list[StepJob]:
-    """The jobs of a step, always the same ones. Wide steps let others run in between."""
-    found: dict[tuple[TaskResources, int], StepJob] = {}
+    """Build the jobs of a step; the result is the same each time. Yields to other work between many elements."""
+    jobs: dict[tuple[TaskResources, int], StepJob] = {}
     counts: dict[TaskResources, int] = {}
-    for place in range(len(leaf.elements)):
-        if place % 20 == 19:
+    for index in range(len(leaf.elements)):
+        if index % 20 == 19:
             await asyncio.sleep(0)
-        made = task_builder(engine, leaf, place).build()
-        counts[made.size] = counts.get(made.size, 0) + 1
-        key = made.size, (counts[made.size] - 1) // constants.TASKS_PER_JOB_MAX
-        if key not in found:
-            found[key] = StepJob(job_ref(flow, leaf.path, len(found)), made.size, [], [])
-        found[key].places.append(place)
-        found[key].made.append(made)
-    return list(found.values())
+        task = create_task_builder(engine, leaf, index).build()
+        counts[task.resources] = counts.get(task.resources, 0) + 1
+        key = task.resources, (counts[task.resources] - 1) // constants.TASKS_PER_JOB_MAX
+        if key not in jobs:
+            jobs[key] = StepJob(job_ref(flow, leaf.path, len(jobs)), task.resources, [], [])
+        jobs[key].indices.append(index)
+        jobs[key].built_tasks.append(task)
+    return list(jobs.values())
 
 
 def reuse_key(engine: Engine, leaf: Leaf) -> str:
-    """Equal for steps that would do the same with the same files."""
+    """A digest that is equal for steps that run the same tool on the same inputs."""
     return digest(engine.plan.processes[leaf.process], [strip_run_details(e) for e in leaf.elements])
 
 
-def build_submission(part: StepJob, tool: Tool, hints: Hints, team: str, due_s: float | None, where: str) -> Submission:
-    """A part as the job that a user would submit for the same work."""
+def build_submission(job: StepJob, tool: Tool, hints: Hints, team: str, due_s: float | None, where: str) -> Submission:
+    """Build the submission that a user would send for the same job."""
     try:
         priority = Priority(hints.priority or Priority.NORMAL)
     except ValueError:
-        raise FlowError(f"{where}: no such priority {hints.priority}") from None
-    made = Submission(
-        ref=part.ref,
+        raise FlowError(f"{where}: unknown priority {hints.priority}") from None
+    submission = Submission(
+        ref=job.ref,
         job_class=hints.job_class or "workflow",
         team=hints.team or team,
         kind=Kind.ARRAY,
         priority=priority,
-        tasks=len(part.places),
-        cpus=part.size.cpus,
-        gpus=part.size.gpus,
-        memory_gb=part.size.memory_gb,
+        tasks=len(job.indices),
+        cpus=job.resources.cpus,
+        gpus=job.resources.gpus,
+        memory_gb=job.resources.memory_gb,
         image=tool.image,
         image_gb=hints.image_gb or 0.0,
         one_zone=False,
@@ -79,7 +80,7 @@
         due_s=due_s,
     )
     try:
-        # What users may not submit as a job, no workflow submits either.
-        return parse_submission(encode(made))
+        # The same checks as for a user's submission.
+        return parse_submission(encode(submission))
     except InvalidMessage as err:
         raise FlowError(f"{where}: {err}") from None
--- a/winglift/flows/records.py
+++ b/winglift/flows/records.py
@@ -1,6 +1,6 @@
-"""What the state service holds of workflows: one head each, and a record of each step that has ended.
+"""Records of workflows in the state service: one for each workflow, and one for each step that has ended.
 
-Which jobs exist need not be written: a job's id follows from workflow, step and part, and its own record says the rest.
+They don't list the open jobs: a job's id is derived from its workflow, step and index, and it has its own record.
 """
 
 from __future__ import annotations
@@ -17,12 +17,15 @@
 T = TypeVar("T")
 
 HEAD = "flow/"
-STEP_KEY_PREFIX = "flowstep/"
+STEP_PREFIX = "flowstep/"
 
 
 class Head(msgspec.Struct, omit_defaults=True, rename={"jobs_cancelled": "tidy", "steps_removed": "swept"}):
-    """`tidy`: all jobs of a workflow that ended early are known to be cancelled. `swept`: its step records are
-    removed."""
+    """The record of a workflow.
+
+    `jobs_cancelled`: it failed or was cancelled, and no job of it is open. `steps_removed`: its step records have been
+    deleted.
+    """
 
     sub: FlowSubmission
     submitted: float  # time of day
@@ -35,8 +38,11 @@
 
 
 class StepRecord(msgspec.Struct, omit_defaults=True):
-    """`results` lies here if it is small, otherwise `digest` names the upload. `key` is what a later workflow compares
-    to take the results over."""
+    """The record of a step that has ended.
+
+    Small results are kept in `results`, others in the upload `digest`. A later workflow reuses the results for a step
+    with the same `key`.
+    """
 
     path: str
     how: StepOutcome
@@ -68,8 +74,8 @@
     return _decode(_step_decoder, value)
 
 
-def truncate_to_tail(text: str) -> str:
-    """The end of a text, as much as a record keeps: counted as it is written, where a byte may take six."""
+def truncate_to_end(text: str) -> str:
+    """Cut a text to its end, so that its JSON form (up to 6 bytes a character) does not exceed the limit."""
     text = text[-constants.FLOW_ERROR_MAX_BYTES :]
     while len(msgspec.json.encode(text)) > constants.FLOW_ERROR_MAX_BYTES:
         text = text[len(text) // 8 + 1 :]
@@ -77,15 +83,15 @@
 
 
 def step_prefix(flow: str) -> str:
-    return f"{STEP_KEY_PREFIX}{flow}/"
+    return f"{STEP_PREFIX}{flow}/"
 
 
 def step_key(flow: str, path: str) -> str:
-    """Paths may be longer than keys are."""
+    """Key of a step record; it holds a digest because a path may exceed the length limit of keys."""
     return step_prefix(flow) + job_ref(flow, path, "step").removeprefix("wk-")
 
 
-def build_reply(record: Head, **more: Any) -> FlowReply:
+def build_reply(record: Head, **details: Any) -> FlowReply:
     return FlowReply(
         record.sub.ref,
         record.state,
@@ -95,5 +101,5 @@
         record.cause,
         record.errors,
         record.outputs,
-        **more,
+        **details,
     )
--- a/winglift/flows/service.py
+++ b/winglift/flows/service.py
@@ -1,4 +1,4 @@
-"""Workflows as part of a node: what users ask for, answered by any node, and the driver while the node leads."""
+"""The workflow extension of a node: answers users' requests on every node, and runs the driver on the leader."""
 
 from __future__ import annotations
 
@@ -43,6 +43,8 @@
 
 
 class Flows:
+    """The workflow extension of a node."""
+
     def __init__(self, settings: FlowSettings, node: Host) -> None:
         self.node = node
         self.settings = settings
@@ -56,6 +58,7 @@
         return self.node.jobs
 
     def routes(self) -> list[tuple]:
+        """The extension's routes for the web application."""
         args = {"node": self.node, "flows": self}
         return [
             (r"/flows", FlowsHandler, args),
@@ -64,18 +67,20 @@
         ]
 
     def on_leadership_gained(self, controller: LeaderTerm) -> None:
+        """Start the driver for this term."""
         self.driver = Driver(controller, self.jobs, self.files, self.engines, self.settings)
         controller.garbage_collector.sweepers.append(OldSteps(controller.state))
 
     def on_leadership_lost(self) -> None:
+        """Stop the driver."""
         if self.driver is not None:
             self.driver.stop()
             self.driver = None
 
-    # -- what users ask for --------------------------------------------------------------------
+    # -- users' requests -----------------------------------------------------------------------
 
     async def _graph(self, plan: str) -> dict[str, Node]:
-        """The steps of a plan; raises Invalid, FlowError, FilesError."""
+        """The graph of a plan, from a cache. Raises InvalidMessage, FlowError, FilesError."""
         if plan not in self._graphs:
             self._graphs[plan] = (await asyncio.to_thread(parse_graph, await self.files.get(plan)))[1]
             while len(self._graphs) > 1 and sum(map(len, self._graphs.values())) > constants.FLOW_STEPS_MAX:
@@ -90,7 +95,7 @@
         return None if item is None else (records.decode_head(item.value), item.version)
 
     async def submit(self, sub: FlowSubmission) -> tuple[int, FlowReply]:
-        """Accept a workflow: 201 once it is committed (invariant 4), 200 if it is known already."""
+        """Accept a workflow: 201 once it is committed (invariant 4: durable), 200 if it exists already."""
         known = await self._read_record(sub.ref)
         if known is None:
             if all(t.name != sub.team for t in self.node.settings.settings.teams):
@@ -105,9 +110,9 @@
             except FilesError as err:
                 raise TemporarilyUnavailable(str(err)) from None
             if sub.reuse is not None:
-                earlier = await self._read_record(sub.reuse)
-                # What another team's workflow has found is nobody else's to see.
-                if earlier is None or earlier[0].sub.team != sub.team:
+                reused = await self._read_record(sub.reuse)
+                # Results may be reused within one team only.
+                if reused is None or reused[0].sub.team != sub.team:
                     raise Unschedulable(f"reuse: {sub.team} has no workflow {sub.reuse}")
             record = records.Head(sub, wall_time())
             key = records.HEAD + sub.ref
@@ -115,19 +120,19 @@
             try:
                 result = await self.node.state.commit(txn, timeout=constants.SUBMIT_TIMEOUT_S)
             except (RequestRejected, OutcomeUnknown) as err:
-                # Taken or not: the user asks again, and the same id tells.
+                # Committed or not: the user repeats the request with the same id.
                 raise TemporarilyUnavailable(str(err)) from None
             if isinstance(result, state_messages.Committed):
                 return 201, records.build_reply(record)
             known = await self._read_record(sub.ref)
             if known is None:
-                raise TemporarilyUnavailable("the state service contradicts itself")
+                raise TemporarilyUnavailable("the state service reported a conflict, but has no such record")
         if known[0].sub != sub:
             raise FlowIdConflict(f"ref: {sub.ref} belongs to another workflow")
         return 200, records.build_reply(known[0])
 
     async def status(self, ref: str, start: int | None) -> FlowReply | None:
-        """A workflow's state, with a page of its steps from `start` on; None: without them."""
+        """The state of a workflow, with one page of steps from index `start` on; None: no steps."""
         known = await self._read_record(ref)
         if known is None:
             return None
@@ -141,51 +146,60 @@
             raise TemporarilyUnavailable(str(err)) from None
         except (InvalidMessage, FlowError):
             return records.build_reply(record)
-        ended = [records.decode_step(item.value) for item in items]
-        over = {plain(r.path) for r in ended}
+        step_records = [records.decode_step(item.value) for item in items]
+        ended_paths = {plain(r.path) for r in step_records}
         steps = [
-            StepReply(r.path, r.how.value, r.tasks, r.tasks if r.how is StepOutcome.DONE else 0, r.jobs) for r in ended
+            StepReply(r.path, r.how.value, r.tasks, r.tasks if r.how is StepOutcome.DONE else 0, r.jobs)
+            for r in step_records
         ]
         steps += [
             StepReply(path, "skipped" if record.state is FlowState.DONE else "waiting", 0)
             for path in nodes
-            if path not in over
+            if path not in ended_paths
         ]
-        order = {path: number for number, path in enumerate(nodes)}
-        steps.sort(key=lambda s: (order.get(plain(s.path), 0), s.path))
+        positions = {path: position for position, path in enumerate(nodes)}
+        steps.sort(key=lambda s: (positions.get(plain(s.path), 0), s.path))
         page = steps[start : start + constants.FLOW_STEPS_PER_PAGE_MAX]
         if record.state is FlowState.OPEN:
             page = [
                 (await self._running_step(ref, s.path) or s)
-                if s.state == "waiting" and nodes[s.path].parents <= over
+                if s.state == "waiting" and nodes[s.path].parents <= ended_paths
                 else s
                 for s in page
             ]
-        later = start + len(page)
-        return records.build_reply(record, steps=page, next=later if later < len(steps) else None)
+        end = start + len(page)
+        return records.build_reply(record, steps=page, next=end if end < len(steps) else None)
 
     async def _running_step(self, ref: str, path: str) -> StepReply | None:
+        """The state of a step that has not ended, by its first job; None if there is no such job."""
         job = job_ref(ref, path, 0)
-        found = await self.jobs.status(job)
-        if found is None:
+        status = await self.jobs.status(job)
+        if status is None:
             return None
-        running = found.status in (JobStatus.RUNNING, JobStatus.DONE)
+        running = status.status in (JobStatus.RUNNING, JobStatus.DONE)
         return StepReply(
-            path, "running" if running else "queued", (found.done or 0) + (found.running or 0), found.done or 0, [job]
+            path,
+            "running" if running else "queued",
+            (status.done or 0) + (status.running or 0),
+            status.done or 0,
+            [job],
         )
 
     async def list_flows(self, after: str) -> flow_messages.FlowList:
+        """One page of all workflows, those with ids after `after`."""
         try:
             items, _ = await self.node.state.list(records.HEAD)
         except (RequestRejected, OutcomeUnknown) as err:
             raise TemporarilyUnavailable(str(err)) from None
-        later = [i for i in items if i.key > records.HEAD + after]
-        found = [records.build_reply(records.decode_head(i.value)) for i in later[: constants.FLOWS_PER_PAGE_MAX]]
-        return flow_messages.FlowList(found, len(later) > constants.FLOWS_PER_PAGE_MAX, self.settings.files)
+        remaining = [i for i in items if i.key > records.HEAD + after]
+        replies = [records.build_reply(records.decode_head(i.value)) for i in remaining[: constants.FLOWS_PER_PAGE_MAX]]
+        return flow_messages.FlowList(replies, len(remaining) > constants.FLOWS_PER_PAGE_MAX, self.settings.files)
 
     async def cancel(self, ref: str) -> FlowReply | None:
-        """Answered once it is committed (invariant 4). From then on nothing of it is submitted; the leader cancels the
-        jobs that are open."""
+        """Cancel a workflow and reply once this is committed (invariant 4: durable).
+
+        From then on no step of it is submitted, and the leader cancels its open jobs.
+        """
         for _ in range(constants.CANCELLATION_ATTEMPTS_MAX):
             known = await self._read_record(ref)
             if known is None:
@@ -202,59 +216,77 @@
                     )
                 )
             except OutcomeUnknown:
-                continue  # read again: it may have been carried out
+                continue  # read again: it may have been committed
             except RequestRejected as err:
                 raise TemporarilyUnavailable(str(err)) from None
             if isinstance(result, state_messages.Committed):
                 return records.build_reply(record)
-        raise TemporarilyUnavailable("the workflow changes too often just now")
+        raise TemporarilyUnavailable("the workflow's record is changing too often at present")
 
 
 class FlowHandler(UserHandler):
+    """Base of the handlers for workflows."""
+
     def initialize(self, node: ApiHost, flows: Flows) -> None:  # type: ignore[override]
         self.node = node
         self.flows = flows
 
-    async def answer(self, ask: Callable[[], Awaitable[tuple[int, object]]]) -> None:
+    async def respond_or_conflict(self, operation: Callable[[], Awaitable[tuple[int, object]]]) -> None:
+        """Like `respond`; an id that belongs to another workflow is refused with 409."""
         try:
-            await self.respond(ask, "no such workflow")
+            await self.respond(operation, "no such workflow")
         except FlowIdConflict as err:
             self.refuse(409, str(err))
 
-    def flow(self, text: str) -> str:
+    def checked_flow_ref(self, text: str) -> str:
+        """The workflow id in a path. Raises InvalidMessage if it is malformed."""
         if not flow_messages.is_flow_ref(text):
             raise InvalidMessage("ref: expected the form fl-000412")
         return text
 
 
 class FlowsHandler(FlowHandler):
+    """GET and POST /flows: list workflows, submit one."""
+
     async def get(self) -> None:
-        async def ask() -> tuple[int, object]:
+        """Answer with one page of all workflows."""
+
+        async def run_operation() -> tuple[int, object]:
             return 200, await self.flows.list_flows(self.get_query_argument("after", ""))
 
-        await self.answer(ask)
+        await self.respond_or_conflict(run_operation)
 
     async def post(self) -> None:
-        async def ask() -> tuple[int, object]:
+        """Accept a workflow: 201, or 200 if it was accepted before."""
+
+        async def run_operation() -> tuple[int, object]:
             return await self.flows.submit(flow_messages.parse_submission(self.request.body))
 
-        await self.answer(ask)
+        await self.respond_or_conflict(run_operation)
 
 
 class FlowStatusHandler(FlowHandler):
+    """GET /flows/{ref}: the state of a workflow."""
+
     async def get(self, text: str) -> None:
-        async def ask() -> tuple[int, object]:
+        """Answer with the workflow's state and steps, or 404."""
+
+        async def run_operation() -> tuple[int, object]:
             start = self.get_query_argument("steps", "0")
             if start != "no" and not (start.isascii() and start.isdigit() and len(start) < 10):
                 raise InvalidMessage("steps: expected a number, or no")
-            return 200, await self.flows.status(self.flow(text), None if start == "no" else int(start))
+            return 200, await self.flows.status(self.checked_flow_ref(text), None if start == "no" else int(start))
 
-        await self.answer(ask)
+        await self.respond_or_conflict(run_operation)
 
 
 class FlowCancellationHandler(FlowHandler):
+    """POST /flows/{ref}/abort: cancel a workflow."""
+
     async def post(self, text: str) -> None:
-        async def ask() -> tuple[int, object]:
-            return 200, await self.flows.cancel(self.flow(text))
+        """Cancel the workflow and answer with its state, or 404."""
+
+        async def run_operation() -> tuple[int, object]:
+            return 200, await self.flows.cancel(self.checked_flow_ref(text))
 
-        await self.answer(ask)
+        await self.respond_or_conflict(run_operation)
--- a/winglift/flows/sweep.py
+++ b/winglift/flows/sweep.py
@@ -1,4 +1,4 @@
-"""Step records of workflows that ended long ago: what they were kept for, `--reuse` and looks at steps, is over."""
+"""Deletes the step records of workflows that ended long ago; `--reuse` and the display of steps needed them."""
 
 from __future__ import annotations
 
@@ -12,33 +12,34 @@
 
 
 class OldSteps:
-    """Heads stay, with state and outputs; `swept` says that a workflow's steps are gone."""
+    """Finds old step records. The workflow's record stays, with state and outputs, and is marked `steps_removed`."""
 
     def __init__(self, state: StateClient) -> None:
         self.state = state
-        self._next = 0.0
+        self._next_pass = 0.0
 
     async def find(self, max_changes: int) -> list[Removal]:
-        if monotonic_time() < self._next:
+        """Removals of old step records, each of at most `max_changes` keys; empty between two passes."""
+        if monotonic_time() < self._next_pass:
             return []
-        found: list[Removal] = []
+        removals: list[Removal] = []
         now = wall_time()
         items, _ = await self.state.list(records.HEAD)
         for item in items:
             try:
                 record = records.decode_head(item.value)
             except records.InvalidRecord:
-                continue  # not written by this program: left alone
-            over = record.state is FlowState.DONE or record.jobs_cancelled
-            if not over or record.steps_removed or now - record.submitted < constants.GC_FLOW_STEP_RETENTION_S:
+                continue  # not written by this program: not changed
+            ended = record.state is FlowState.DONE or record.jobs_cancelled
+            if not ended or record.steps_removed or now - record.submitted < constants.GC_FLOW_STEP_RETENTION_S:
                 continue
-            found += await self._removals(item, record, max_changes, now)
-            if len(found) >= constants.GC_REMOVALS_MAX:
-                return found  # the rest at the next look
-        self._next = monotonic_time() + constants.GC_FLOWS_INTERVAL_S
-        return found
+            removals += await self._step_removals(item, record, max_changes, now)
+            if len(removals) >= constants.GC_REMOVALS_MAX:
+                return removals  # the rest follows in the next pass
+        self._next_pass = monotonic_time() + constants.GC_FLOWS_INTERVAL_S
+        return removals
 
-    async def _removals(
+    async def _step_removals(
         self, item: state_messages.Item, record: records.Head, max_changes: int, now: float
     ) -> list[Removal]:
         ref = record.sub.ref
