--- a/winglift/flows/command.py
+++ b/winglift/flows/command.py
@@ -1,4 +1,4 @@
-"""From a tool and its inputs to one task's command, and from what the command left to the tool's outputs."""
+"""Builds the command of a task from a tool and its inputs, and the tool's outputs from the result of the task."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskResources:
-    """What a task takes of its machine; tasks of one job are alike in it."""
+    """The resources that a task demands; equal for all tasks of one job."""
 
     cpus: float
     gpus: float
@@ -29,26 +29,28 @@
 
 @dataclass(slots=True)
 class BuiltTask:
+    """A task that is ready to be uploaded."""
+
     description: TaskDescription
     resources: TaskResources
     blobs: dict[str, bytes] = field(default_factory=dict)  # contents to be uploaded, by digest
 
 
 def add_name_fields(value: Any) -> Any:
-    """Files with what expressions ask of their names."""
+    """A value, with the CWL fields nameroot, nameext and dirname of its files."""
     if isinstance(value, dict):
-        made = {k: add_name_fields(v) for k, v in value.items()}
-        if made.get("class") == "File" and "basename" in made:
-            root, ext = posixpath.splitext(made["basename"])
-            made["nameroot"], made["nameext"] = root, ext
-            if "path" in made:
-                made["dirname"] = posixpath.dirname(made["path"])
-        return made
+        fields = {k: add_name_fields(v) for k, v in value.items()}
+        if fields.get("class") == "File" and "basename" in fields:
+            root, extension = posixpath.splitext(fields["basename"])
+            fields["nameroot"], fields["nameext"] = root, extension
+            if "path" in fields:
+                fields["dirname"] = posixpath.dirname(fields["path"])
+        return fields
     return [add_name_fields(v) for v in value] if isinstance(value, list) else value
 
 
 class Builder:
-    """Builds the command of one element."""
+    """Builds the task of one element, and later its outputs."""
 
     def __init__(self, tool: Tool, inputs: dict[str, Any], evaluate: Evaluator, where: str) -> None:
         self.tool = tool
@@ -56,7 +58,7 @@
         self._evaluator = evaluate
         self._files: dict[str, InputFile] = {}
         self._blobs: dict[str, bytes] = {}
-        self._count = 0
+        self._staged_count = 0
         self.inputs = add_name_fields({name: self._stage_inputs(value) for name, value in inputs.items()})
         self.runtime: dict[str, Any] = {
             "outdir": OUTPUT_DIR,
@@ -66,15 +68,16 @@
         }
 
     def evaluate_text(self, text: Any, self_value: Any = None) -> Any:
+        """Evaluate an expression with this task's inputs; other values are returned as they are."""
         try:
             return self._evaluator(text, {"inputs": self.inputs, "self": self_value, "runtime": self.runtime})
         except ExpressionError as err:
             raise FlowError(f"{self.where}: {err}") from None
 
-    def _evaluate_string(self, text: str, what: str) -> str:
+    def _evaluate_string(self, text: str, name: str) -> str:
         value = self.evaluate_text(text)
         if not isinstance(value, str):
-            raise FlowError(f"{self.where}: {what}: expected a text, got {value!r}")
+            raise FlowError(f"{self.where}: {name}: expected a string, got {value!r}")
         return value
 
     # -- files ---------------------------------------------------------------------------------
@@ -84,12 +87,12 @@
         self._blobs[digest] = content
         return digest
 
-    def _stage(self, value: dict[str, Any], folder: str) -> dict[str, Any]:
-        """A file or folder, to lie in a folder."""
+    def _stage(self, value: dict[str, Any], directory: str) -> dict[str, Any]:
+        """Stage a file or directory of the task in `directory`; return it with its path."""
         name = value.get("basename") or ""
         if not name or "/" in name or name in (".", ".."):
-            raise FlowError(f"{self.where}: no name for a file: {name!r}")
-        path = f"{folder}/{name}"
+            raise FlowError(f"{self.where}: invalid file name: {name!r}")
+        path = f"{directory}/{name}"
         if value["class"] == "Directory":
             self._files[path] = InputFile(path)
             return value | {"path": path, "listing": [self._stage(v, path) for v in value.get("listing") or []]}
@@ -99,20 +102,20 @@
         elif isinstance(value.get("contents"), str):
             self._files[path] = InputFile(path, self._add_blob(value["contents"].encode()))
         else:
-            raise FlowError(f"{self.where}: {name}: neither content nor upload")
+            raise FlowError(f"{self.where}: {name}: has neither contents nor an upload")
         return value | {"path": path}
 
     def _stage_inputs(self, value: Any) -> Any:
-        """Each input file gets a folder of its own: names may be equal."""
+        """Stage the files of an input, each in a directory of its own because their names may be equal."""
         if isinstance(value, dict):
             if value.get("class") in ("File", "Directory"):
-                self._count += 1
-                return self._stage(value, f"{TASK_DIR}/in/{self._count}")
+                self._staged_count += 1
+                return self._stage(value, f"{TASK_DIR}/in/{self._staged_count}")
             return {k: self._stage_inputs(v) for k, v in value.items()}
         return [self._stage_inputs(v) for v in value] if isinstance(value, list) else value
 
     def _stage_work_dir(self) -> None:
-        """InitialWorkDirRequirement: what lies in the output folder before the command starts."""
+        """Stage the entries of InitialWorkDirRequirement in the output directory."""
         for item in self.tool.staged:
             value = self.evaluate_text(item.entry)
             name = self._evaluate_string(item.name, "entryname") if item.name is not None else None
@@ -120,23 +123,24 @@
                 continue
             for entry in value if isinstance(value, list) else [value]:
                 if isinstance(entry, dict) and entry.get("class") in ("File", "Directory"):
-                    old = entry.get("path")
+                    old_path = entry.get("path")
                     staged = self._stage(entry | ({"basename": name} if name else {}), OUTPUT_DIR)
-                    if old:
-                        self.inputs = self._replace_path(self.inputs, old, staged)
+                    if old_path:
+                        self.inputs = self._replace_path(self.inputs, old_path, staged)
                 elif name is None:
-                    raise FlowError(f"{self.where}: a text in the work folder needs an entryname")
+                    raise FlowError(f"{self.where}: a text in InitialWorkDirRequirement needs an entryname")
                 else:
                     text = entry if isinstance(entry, str) else msgspec.json.encode(entry).decode()
                     self._stage({"class": "File", "basename": name, "contents": text}, OUTPUT_DIR)
 
-    def _replace_path(self, value: Any, old: str, new: dict[str, Any]) -> Any:
+    def _replace_path(self, value: Any, old_path: str, staged: dict[str, Any]) -> Any:
+        """Replace the input file at `old_path` by the staged one."""
         if isinstance(value, dict):
-            if value.get("path") == old:
-                self._files.pop(old, None)
-                return add_name_fields(new)
-            return {k: self._replace_path(v, old, new) for k, v in value.items()}
-        return [self._replace_path(v, old, new) for v in value] if isinstance(value, list) else value
+            if value.get("path") == old_path:
+                self._files.pop(old_path, None)
+                return add_name_fields(staged)
+            return {k: self._replace_path(v, old_path, staged) for k, v in value.items()}
+        return [self._replace_path(v, old_path, staged) for v in value] if isinstance(value, list) else value
 
     # -- the command line ----------------------------------------------------------------------
 
@@ -145,13 +149,13 @@
         if position is None:
             return 0
         if not isinstance(position, int):
-            raise FlowError(f"{self.where}: position: expected a whole number, got {position!r}")
+            raise FlowError(f"{self.where}: position: expected an integer, got {position!r}")
         return position
 
     def _to_argument(self, value: Any) -> str:
         if isinstance(value, dict):
             if "path" not in value:
-                raise FlowError(f"{self.where}: a record without bindings can't stand on a command line")
+                raise FlowError(f"{self.where}: a record needs bindings to appear on the command line")
             return value["path"]
         if isinstance(value, bool):
             return "true" if value else "false"
@@ -160,7 +164,7 @@
         return str(value)
 
     def _bind(self, binding: Binding, value: Any, param: Param | None = None) -> list[str]:
-        """The words that a value gives."""
+        """The command-line arguments of a value."""
         if binding.value_from is not None and (value is not None or param is None):
             value = self.evaluate_text(binding.value_from, value)
         prefix = binding.prefix
@@ -174,51 +178,61 @@
             if binding.item_separator is not None:
                 value = binding.item_separator.join(self._to_argument(v) for v in value)
             else:
-                each = param.items if param is not None else None
-                words = [w for v in value for w in (self._bind(each, v) if each else [self._to_argument(v)])]
-                return ([prefix] if prefix else []) + words
+                item_binding = param.items if param is not None else None
+                arguments = [
+                    a for v in value for a in (self._bind(item_binding, v) if item_binding else [self._to_argument(v)])
+                ]
+                return ([prefix] if prefix else []) + arguments
         if isinstance(value, dict) and "path" not in value:
             fields = param.fields if param is not None else {}
-            keyed = sorted((self._position(b, value.get(f)), f) for f, b in fields.items())
-            words = [w for _, f in keyed for w in self._bind(fields[f], value.get(f))]
-            return ([prefix] if prefix else []) + words
-        word = self._to_argument(value)
+            ordered = sorted(
+                (self._position(field_binding, value.get(field)), field) for field, field_binding in fields.items()
+            )
+            arguments = [a for _, field in ordered for a in self._bind(fields[field], value.get(field))]
+            return ([prefix] if prefix else []) + arguments
+        argument = self._to_argument(value)
         if prefix is None:
-            return [word]
-        return [prefix, word] if binding.separate else [prefix + word]
+            return [argument]
+        return [prefix, argument] if binding.separate else [prefix + argument]
 
     def _build_command(self) -> list[str]:
-        words: list[tuple[tuple[int, int, int, str], list[str]]] = []
+        arguments: list[tuple[tuple[int, int, int, str], list[str]]] = []
         for number, binding in enumerate(self.tool.arguments):
-            words.append(((self._position(binding, None), 0, number, ""), self._bind(binding, None)))
+            arguments.append(((self._position(binding, None), 0, number, ""), self._bind(binding, None)))
         for param in self.tool.inputs:
             value = self.inputs.get(param.name)
-            shown = param.binding
-            if shown is None and (param.items or param.fields):
-                shown = Binding()
-            if shown is not None and value is not None:
-                words.append(((self._position(shown, value), 1, 0, param.name), self._bind(shown, value, param)))
-        command = [*self.tool.base, *(w for _, found in sorted(words, key=lambda x: x[0]) for w in found)]
+            param_binding = param.binding
+            if param_binding is None and (param.items or param.fields):
+                param_binding = Binding()
+            if param_binding is not None and value is not None:
+                arguments.append(
+                    ((self._position(param_binding, value), 1, 0, param.name), self._bind(param_binding, value, param))
+                )
+        command = [
+            *self.tool.base,
+            *(a for _, bound in sorted(arguments, key=lambda item: item[0]) for a in bound),
+        ]
         if not command:
-            raise FlowError(f"{self.where}: an empty command")
+            raise FlowError(f"{self.where}: the command is empty")
         return command
 
-    def _evaluate_amount(self, text: float | str, what: str) -> float:
+    def _evaluate_amount(self, text: float | str, name: str) -> float:
         value = self.evaluate_text(text) if isinstance(text, str) else text
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) or value < 0:
-            raise FlowError(f"{self.where}: {what}: expected an amount, got {value!r}")
+            raise FlowError(f"{self.where}: {name}: expected a number of at least 0, got {value!r}")
         return float(value)
 
     def build(self) -> BuiltTask:
+        """Build the task. Raises FlowError if an expression fails or has a wrong type."""
         tool = self.tool
-        size = TaskResources(
+        resources = TaskResources(
             self._evaluate_amount(tool.cpus, "cores"),
             self._evaluate_amount(tool.gpus, "GPUs"),
             self._evaluate_amount(tool.memory_gb, "memory"),
         )
-        self.runtime |= {"cores": math.ceil(size.cpus), "ram": math.ceil(size.memory_gb * 1024)}
+        self.runtime |= {"cores": math.ceil(resources.cpus), "ram": math.ceil(resources.memory_gb * 1024)}
         self._stage_work_dir()
-        work = TaskDescription(
+        description = TaskDescription(
             command=self._build_command(),
             env={name: self._evaluate_string(text, f"variable {name}") for name, text in tool.env.items()},
             files=list(self._files.values()),
@@ -229,27 +243,27 @@
             time_s=self._evaluate_amount(tool.time_s, "time limit"),
             outputs=[Output(o.name, None, self._evaluate_globs(o), o.load) for o in tool.outputs],
         )
-        return BuiltTask(work, size, self._blobs)
+        return BuiltTask(description, resources, self._blobs)
 
     def _evaluate_globs(self, output: Output) -> list[str]:
-        found: list[str] = []
+        patterns: list[str] = []
         for text in output.glob:
             value = self.evaluate_text(text)
             for pattern in value if isinstance(value, list) else [value]:
                 if not isinstance(pattern, str):
-                    raise FlowError(f"{self.where}/{output.name}: glob: expected a text, got {pattern!r}")
-                found.append(pattern.removeprefix(f"{OUTPUT_DIR}/"))
-        return found
-
-    def collect(self, found: TaskResult) -> dict[str, Any]:
-        """The tool's outputs. Raises FlowError where they are not of their types."""
-        self.runtime |= {"exitCode": found.code}
-        made = {}
+                    raise FlowError(f"{self.where}/{output.name}: glob: expected a string, got {pattern!r}")
+                patterns.append(pattern.removeprefix(f"{OUTPUT_DIR}/"))
+        return patterns
+
+    def collect(self, result: TaskResult) -> dict[str, Any]:
+        """The tool's outputs. Raises FlowError if one has a wrong type."""
+        self.runtime |= {"exitCode": result.code}
+        outputs = {}
         for output in self.tool.outputs:
-            if found.whole is not None:
-                value = found.whole.get(output.name)
+            if result.whole is not None:
+                value = result.whole.get(output.name)
             else:
-                files = add_name_fields(found.outputs.get(output.name, []))
+                files = add_name_fields(result.outputs.get(output.name, []))
                 if output.evaluate is not None:
                     value = self.evaluate_text(output.evaluate, files)
                 elif fits(files, output.type) and isinstance(output.type, dict):
@@ -257,11 +271,11 @@
                 else:
                     value = files if fits(files, output.type) else files[0] if len(files) == 1 else None
                     if value is None and files:
-                        raise FlowError(f"{self.where}/{output.name}: {len(files)} files, where one is expected")
+                        raise FlowError(f"{self.where}/{output.name}: {len(files)} files found, expected one")
             if not fits(value, output.type):
                 raise FlowError(
                     f"{self.where}/{output.name}: expected {describe(output.type)}"
                     + ("" if value is not None else ", found nothing")
                 )
-            made[output.name] = value
-        return made
+            outputs[output.name] = value
+        return outputs
--- a/winglift/flows/expressions.py
+++ b/winglift/flows/expressions.py
@@ -1,8 +1,8 @@
-"""CWL's parameter references and expressions.
+"""CWL parameter references and expressions.
 
-References are evaluated here. Where a process asks for JavaScript, an embedded engine does it, in a context of its own
-for each process, with bounds on time, memory and stack, and without clock and random numbers: an expression gives the
-same value on every node that continues a workflow.
+Parameter references are resolved here. If a process requires JavaScript, an embedded interpreter evaluates its
+expressions, with one context for each expression library and limits on time, memory and stack. There is no clock and no
+random number generator, so that an expression has the same value on every node that continues the workflow.
 """
 
 from __future__ import annotations
@@ -21,21 +21,22 @@
 
 
 class ExpressionError(Exception):
-    """An expression that can't be evaluated; its text names it."""
+    """An expression can't be evaluated; the message contains it."""
 
 
 class Endless(ExpressionError):
-    """It went on past its bound of time."""
+    """An expression exceeded its time limit."""
 
 
 def needs_evaluation(text: Any) -> bool:
+    """Whether the value is a text with parameter references or expressions."""
     return isinstance(text, str) and ("$(" in text or "${" in text)
 
 
-def _bracket_end(text: str, at: int) -> int:
-    """Index after the bracket that closes the one at `at`, minding strings."""
-    opening, closing = text[at], {"(": ")", "{": "}"}[text[at]]
-    depth, quote, i = 0, "", at
+def _bracket_end(text: str, start: int) -> int:
+    """Index after the bracket that closes the one at `start`; brackets in quotes don't count."""
+    opening, closing = text[start], {"(": ")", "{": "}"}[text[start]]
+    depth, quote, i = 0, "", start
     while i < len(text):
         char = text[i]
         if quote:
@@ -56,46 +57,46 @@
 
 
 def split_expressions(text: str) -> list[tuple[bool, str]]:
-    """(is an expression, text) in order; expressions keep their leading $."""
-    found: list[tuple[bool, str]] = []
-    plain, i = "", 0
+    """Split a text into pairs (is an expression, text), in order; expressions keep their leading $."""
+    parts: list[tuple[bool, str]] = []
+    literal, i = "", 0
     while i < len(text):
         if text[i] == "\\" and text[i + 1 : i + 3] in ("$(", "${"):
-            plain += text[i + 1 : i + 3]
+            literal += text[i + 1 : i + 3]
             i += 3
         elif text[i] == "\\" and text[i + 1 : i + 2] == "\\":
-            plain += "\\"
+            literal += "\\"
             i += 2
         elif text[i : i + 2] in ("$(", "${"):
-            if plain:
-                found.append((False, plain))
-                plain = ""
+            if literal:
+                parts.append((False, literal))
+                literal = ""
             end = _bracket_end(text, i + 1)
-            found.append((True, text[i:end]))
+            parts.append((True, text[i:end]))
             i = end
         else:
-            plain += text[i]
+            literal += text[i]
             i += 1
-    if plain:
-        found.append((False, plain))
-    return found
+    if literal:
+        parts.append((False, literal))
+    return parts
 
 
-def _resolve_reference(path: str, names: dict[str, Any], whole: str) -> Any:
-    match = _REFERENCE.match(path)
+def _resolve_reference(reference: str, names: dict[str, Any], expression: str) -> Any:
+    match = _REFERENCE.match(reference)
     if match is None:
-        raise ExpressionError(f"{whole}: not a parameter reference, and the process does not ask for JavaScript")
+        raise ExpressionError(f"{expression}: not a parameter reference, and the process does not ask for JavaScript")
     if match[1] not in names:
         if match[1] == "null" and not match[2]:
             return None
-        raise ExpressionError(f"{whole}: no such name {match[1]}")
+        raise ExpressionError(f"{expression}: no such name {match[1]}")
     value = names[match[1]]
     rest = match[2]
     for segment in _SEGMENT.finditer(rest):
         name = segment[1] or segment[2] or segment[3]
         if segment[4] is not None:
             if not isinstance(value, list) or int(segment[4]) >= len(value):
-                raise ExpressionError(f"{whole}: no element {segment[4]}")
+                raise ExpressionError(f"{expression}: no element {segment[4]}")
             value = value[int(segment[4])]
             continue
         name = _ESCAPE.sub(r"\1", name or "")
@@ -104,7 +105,7 @@
         elif isinstance(value, dict) and name in value:
             value = value[name]
         else:
-            raise ExpressionError(f"{whole}: no field {name}")
+            raise ExpressionError(f"{expression}: no field {name}")
     return value
 
 
@@ -112,7 +113,7 @@
 
 
 class Engines:
-    """JavaScript contexts, a few, by their library."""
+    """The JavaScript interpreter: a few contexts, each kept for one expression library."""
 
     def __init__(
         self, time_s: float = constants.EXPRESSION_CPU_TIMEOUT_S, memory_mb: float = constants.EXPRESSION_MEMORY_MAX_MB
@@ -124,39 +125,42 @@
     def _context(self, library: tuple[str, ...]) -> Any:
         import quickjs
 
-        found = self._contexts.get(library)
-        if found is None:
-            found = quickjs.Context()
-            found.set_memory_limit(int(self.memory_mb * 2**20))
-            found.set_time_limit(self.time_s)
-            found.eval(_REMOVE_CLOCK_AND_RANDOM)
+        context = self._contexts.get(library)
+        if context is None:
+            context = quickjs.Context()
+            context.set_memory_limit(int(self.memory_mb * 2**20))
+            context.set_time_limit(self.time_s)
+            context.eval(_REMOVE_CLOCK_AND_RANDOM)
             for text in library:
-                found.eval(text)
-            self._contexts[library] = found
+                context.eval(text)
+            self._contexts[library] = context
             while len(self._contexts) > constants.EXPRESSION_CONTEXTS_MAX:
                 self._contexts.popitem(last=False)
-        return found
+        return context
 
-    def run(self, code: str, names: dict[str, Any], library: tuple[str, ...], whole: str) -> Any:
+    def run(self, code: str, names: dict[str, Any], library: tuple[str, ...], expression: str) -> Any:
+        """Run the body of a function with these variables; `expression` is named in errors."""
         import quickjs
 
-        given = "".join(f"var {n} = {msgspec.json.encode(v).decode()};" for n, v in names.items())
-        # A function of its own: what an expression declares is gone when it ends.
-        text = f'(function() {{ "use strict"; {given} return JSON.stringify((function() {{ {code} }})()); }})()'
+        declarations = "".join(f"var {n} = {msgspec.json.encode(v).decode()};" for n, v in names.items())
+        # Wrapped in a function, so that the expression's declarations end with it.
+        script = (
+            f'(function() {{ "use strict"; {declarations} return JSON.stringify((function() {{ {code} }})()); }})()'
+        )
         try:
-            result = self._context(library).eval(text)
+            result = self._context(library).eval(script)
         except quickjs.JSException as err:
-            # After an error of any kind the context may hold what was left half done.
+            # An error may have left the context in an inconsistent state.
             self._contexts.pop(library, None)
-            why = str(err).splitlines()[0]
-            if "interrupted" in why:
-                raise Endless(f"{whole}: did not end within {self.time_s:g} s") from None
-            raise ExpressionError(f"{whole}: {why}") from None
+            reason = str(err).splitlines()[0]
+            if "interrupted" in reason:
+                raise Endless(f"{expression}: did not end within {self.time_s:g} s") from None
+            raise ExpressionError(f"{expression}: {reason}") from None
         return None if result is None else msgspec.json.decode(result)
 
 
 class Evaluator:
-    """Evaluates the texts of one process."""
+    """Evaluates the parameter references and expressions of one process."""
 
     def __init__(self, engines: Engines, javascript: bool, library: list[str] | tuple[str, ...] = ()) -> None:
         self._engines = engines
@@ -168,26 +172,26 @@
             if not self._javascript:
                 raise ExpressionError(f"{text}: the process does not ask for JavaScript")
             return self._engines.run(text[2:-1], names, self._library, text)
-        inner = text[2:-1].strip()
-        if not self._javascript or (_REFERENCE.match(inner) and inner.split(".")[0].split("[")[0] in names):
+        code = text[2:-1].strip()
+        if not self._javascript or (_REFERENCE.match(code) and code.split(".")[0].split("[")[0] in names):
             try:
-                return _resolve_reference(inner, names, text)
+                return _resolve_reference(code, names, text)
             except ExpressionError:
                 if not self._javascript:
                     raise
-        return self._engines.run(f"return ({inner});", names, self._library, text)
+        return self._engines.run(f"return ({code});", names, self._library, text)
 
     def __call__(self, text: Any, names: dict[str, Any]) -> Any:
-        """The value of a text that may hold expressions; alone, an expression keeps its type."""
+        """The value of a text with expressions. A single expression keeps its type; else it becomes a string."""
         if not isinstance(text, str):
             return text
         if not needs_evaluation(text):
             return text.replace("\\\\", "\\") if "\\\\" in text else text
-        found = split_expressions(text.strip() if text.strip().startswith(("$(", "${")) else text)
-        if len(found) == 1 and found[0][0]:
-            return self._evaluate_expression(found[0][1], names)
-        made = ""
-        for is_expression, part in found:
+        parts = split_expressions(text.strip() if text.strip().startswith(("$(", "${")) else text)
+        if len(parts) == 1 and parts[0][0]:
+            return self._evaluate_expression(parts[0][1], names)
+        result = ""
+        for is_expression, part in parts:
             value = self._evaluate_expression(part, names) if is_expression else part
-            made += value if isinstance(value, str) else msgspec.json.encode(value).decode()
-        return made
+            result += value if isinstance(value, str) else msgspec.json.encode(value).decode()
+        return result
--- a/winglift/flows/run.py
+++ b/winglift/flows/run.py
@@ -59,9 +59,9 @@
         self.submitted: dict[str, SubmittedStep] = {}
         self.step_records: dict[str, records.StepRecord] = {}
         self.reusable_records: dict[str, records.StepRecord] = {}
-        self._finish_times: dict[str, float] = {}  # time of day, by path in the graph
+        self._end_times: dict[str, float] = {}  # time of day, by path in the graph
         self._machines: dict[str, set[str]] = {}
-        self._rounds: dict[str, float] = {}  # see `DeadlineDivision.at`
+        self._rounds: dict[str, float] = {}  # of scattered steps, see `DeadlineDivision`
         self._division = DeadlineDivision({})
         self._sub_deadlines: dict[str, float] | None = None  # None: to be computed
         self._unsorted_leaves: deque[Leaf] = deque()
@@ -135,7 +135,7 @@
                 self._unsorted_leaves.appendleft(leaf)
                 raise
         path = plain(leaf.path)
-        self._finish_times[path] = max(self._finish_times.get(path, 0.0), record.ended)
+        self._end_times[path] = max(self._end_times.get(path, 0.0), record.ended)
         self._sub_deadlines = None
         self._machines.setdefault(path, set()).update(record.machines)
         self.engine.complete_step(leaf, results)
@@ -262,7 +262,7 @@
             return None
         if self._sub_deadlines is None:
             start = self.flow_record.submitted
-            self._sub_deadlines = self._division.at(start, start + sub.due_s, self._finish_times, self._rounds)
+            self._sub_deadlines = self._division.sub_deadlines(start, start + sub.due_s, self._end_times, self._rounds)
         return self._sub_deadlines[path]
 
     async def _submit(self, job: StepJob, tool: Tool, leaf: Leaf, due: float | None, nearby: frozenset[str]) -> None:
--- a/winglift/flows/values.py
+++ b/winglift/flows/values.py
@@ -1,4 +1,4 @@
-"""Values of CWL: types, what flows along the links between steps, scatter."""
+"""CWL values: types, the merge of several sources, scatter, digests."""
 
 from __future__ import annotations
 
@@ -11,23 +11,25 @@
 
 
 class FlowError(Exception):
-    """A workflow that can't go on; the text names the place."""
-
-
-def fits(value: Any, kind: Any) -> bool:
-    """Is a value of a normalised type?"""
-    if isinstance(kind, list):
-        return any(fits(value, k) for k in kind)
-    if isinstance(kind, dict):
-        if "array" in kind:
-            return isinstance(value, list) and all(fits(v, kind["array"]) for v in value)
-        if "enum" in kind:
-            return value in kind["enum"]
-        fields = kind["record"]
+    """A workflow can't continue; the message names the place in it."""
+
+
+def fits(value: Any, type_: Any) -> bool:
+    """Whether a value has a type (in the normalised form of `wire/flows.py`)."""
+    if isinstance(type_, list):
+        return any(fits(value, member) for member in type_)
+    if isinstance(type_, dict):
+        if "array" in type_:
+            return isinstance(value, list) and all(fits(v, type_["array"]) for v in value)
+        if "enum" in type_:
+            return value in type_["enum"]
+        fields = type_["record"]
         return (
-            isinstance(value, dict) and "class" not in value and all(fits(value.get(f), t) for f, t in fields.items())
+            isinstance(value, dict)
+            and "class" not in value
+            and all(fits(value.get(name), field_type) for name, field_type in fields.items())
         )
-    match kind:
+    match type_:
         case "null":
             return value is None
         case "Any":
@@ -41,76 +43,79 @@
         case "string":
             return isinstance(value, str)
         case _:
-            return isinstance(value, dict) and value.get("class") == kind
+            return isinstance(value, dict) and value.get("class") == type_
 
 
-def describe(kind: Any) -> str:
-    if isinstance(kind, list):
-        return " or ".join(map(describe, kind))
-    if isinstance(kind, dict):
-        if "array" in kind:
-            return f"array of {describe(kind['array'])}"
-        return "one of " + ", ".join(kind["enum"]) if "enum" in kind else "record"
-    return kind
+def describe(type_: Any) -> str:
+    """A type in words, for error messages."""
+    if isinstance(type_, list):
+        return " or ".join(map(describe, type_))
+    if isinstance(type_, dict):
+        if "array" in type_:
+            return f"array of {describe(type_['array'])}"
+        return "one of " + ", ".join(type_["enum"]) if "enum" in type_ else "record"
+    return type_
 
 
-def apply_pick_value(values: Any, how: str | None, where: str) -> Any:
-    """CWL's pickValue."""
-    if how is None:
+def apply_pick_value(values: Any, method: str | None, where: str) -> Any:
+    """Apply pickValue of CWL; `method` None leaves the values as they are."""
+    if method is None:
         return values
     if not isinstance(values, list):
         raise FlowError(f"{where}: pickValue needs a list")
-    there = [v for v in values if v is not None]
-    if how == "all_non_null":
-        return there
-    if not there:
-        raise FlowError(f"{where}: pickValue {how}: all values are null")
-    if how == "the_only_non_null" and len(there) > 1:
-        raise FlowError(f"{where}: pickValue the_only_non_null: {len(there)} values are not null")
-    return there[0]
+    present = [v for v in values if v is not None]
+    if method == "all_non_null":
+        return present
+    if not present:
+        raise FlowError(f"{where}: pickValue {method}: all values are null")
+    if method == "the_only_non_null" and len(present) > 1:
+        raise FlowError(f"{where}: pickValue the_only_non_null: {len(present)} values are not null")
+    return present[0]
 
 
 def merge_sources(
-    sources: Sequence[str], found: dict[str, Any], several: bool, merge: str, how: str | None, where: str
+    sources: Sequence[str], values: dict[str, Any], is_list: bool, merge: str, pick_method: str | None, where: str
 ) -> Any:
-    """What arrives over the links of one sink."""
+    """The value of a step input or workflow output, merged from its sources."""
     if not sources:
         return None
-    if not several and len(sources) == 1:
-        return apply_pick_value(found[sources[0]], how, where)
-    values = [found[s] for s in sources]
+    if not is_list and len(sources) == 1:
+        return apply_pick_value(values[sources[0]], pick_method, where)
+    merged = [values[s] for s in sources]
     if merge == "merge_flattened":
-        values = [v for value in values for v in (value if isinstance(value, list) else [value])]
-    return apply_pick_value(values, how, where)
+        merged = [v for value in merged for v in (value if isinstance(value, list) else [value])]
+    return apply_pick_value(merged, pick_method, where)
 
 
 def scatter_inputs(
     names: Sequence[str], method: str, inputs: dict[str, Any], where: str
 ) -> tuple[list[dict[str, Any]], list[int]]:
-    """The inputs of each element, and the shape of the result: one size, or one per input of a nested product."""
+    """The inputs of each element, and the shape of the result: one length, or one per input of a nested product."""
     lists = []
     for name in names:
         if not isinstance(inputs.get(name), list):
-            raise FlowError(f"{where}: scatter over {name}, which is no list")
+            raise FlowError(f"{where}: scatter over {name}, which is not a list")
         lists.append(inputs[name])
     if method == "dotproduct" or len(names) == 1:
         if len({len(values) for values in lists}) > 1:
             raise FlowError(f"{where}: dotproduct of lists of different lengths")
-        return [inputs | dict(zip(names, row, strict=True)) for row in zip(*lists, strict=True)], [len(lists[0])]
-    rows = [inputs | dict(zip(names, row, strict=True)) for row in product(*lists)]
-    return rows, [len(rows)] if method == "flat_crossproduct" else [len(values) for values in lists]
+        return [inputs | dict(zip(names, combination, strict=True)) for combination in zip(*lists, strict=True)], [
+            len(lists[0])
+        ]
+    elements = [inputs | dict(zip(names, combination, strict=True)) for combination in product(*lists)]
+    return elements, [len(elements)] if method == "flat_crossproduct" else [len(values) for values in lists]
 
 
 def nest_values(values: list[Any], shape: Sequence[int]) -> list[Any]:
-    """The values in the given shape."""
+    """Nest a flat list of values into lists of the given shape."""
     if len(shape) <= 1:
         return values
-    size = len(values) // shape[0] if shape[0] else 0
-    return [nest_values(values[i * size : (i + 1) * size], shape[1:]) for i in range(shape[0])]
+    length = len(values) // shape[0] if shape[0] else 0
+    return [nest_values(values[i * length : (i + 1) * length], shape[1:]) for i in range(shape[0])]
 
 
 def strip_run_details(value: Any) -> Any:
-    """A value without what only one run knows (paths, locations other than the content): for comparing."""
+    """A value without the path fields of files, which differ from run to run; for comparisons."""
     if isinstance(value, dict):
         return {
             k: strip_run_details(v) for k, v in value.items() if k not in ("path", "dirname", "nameroot", "nameext")
@@ -120,18 +125,21 @@
     return value
 
 
-def digest(*things: Any) -> str:
-    return hashlib.sha256(msgspec.json.encode(things, order="deterministic")).hexdigest()
+def digest(*values: Any) -> str:
+    """SHA-256 of the values in JSON, with sorted keys."""
+    return hashlib.sha256(msgspec.json.encode(values, order="deterministic")).hexdigest()
 
 
-def job_ref(*things: Any) -> str:
-    """The id of a job that is part of a workflow. It follows from the workflow, the step and the part alone, so a step
-    that is submitted again, by whichever node, has the same id."""
-    return f"wk-{int(digest(*things), 16) % 10**20:020d}"
+def job_ref(*parts: Any) -> str:
+    """The id of a job of a workflow, derived from the workflow, the step and the job's index alone.
+
+    A step that is submitted again, by whichever node, therefore has the same ids.
+    """
+    return f"wk-{int(digest(*parts), 16) % 10**20:020d}"
 
 
 def find_files(value: Any) -> list[dict[str, Any]]:
-    """All files in a value."""
+    """All files within a value."""
     if isinstance(value, dict):
         if value.get("class") == "File":
             return [value]
