--- a/standins/flow_leader.py
+++ b/standins/flow_leader.py
@@ -1,6 +1,6 @@
-"""What drives a workflow, without network and clock: a state service, uploads and a leader in this process.
+"""Stand-ins to run workflows without network and clock: state service client, upload store and leader, in one process.
 
-Its jobs complete when they are told to, and every task leaves as text the words of its command.
+Jobs complete only when a test completes them. The output of each task is the arguments of its command.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from .state import StateService
 
 
-class Direct:
-    """A state service's interface without the network between. Others may run meanwhile, as they would."""
+class InProcessStateClient:
+    """A state service client without a network. Like a real request, each call lets other tasks run."""
 
     def __init__(self, service: StateService) -> None:
         self.service = service
@@ -31,12 +31,12 @@
     async def get(self, key: str) -> state_messages.Item | None:
         self.requests += 1
         await asyncio.sleep(0)
-        found = self.service.keys.get(key)
-        return None if found is None else state_messages.Item(key, msgspec.Raw(msgspec.json.encode(found[0])), found[1])
+        entry = self.service.keys.get(key)
+        return None if entry is None else state_messages.Item(key, msgspec.Raw(msgspec.json.encode(entry[0])), entry[1])
 
     async def list(self, prefix: str) -> tuple[list[state_messages.Item], int]:
         keys = sorted(k for k in self.service.keys if k.startswith(prefix))
-        return [i for k in keys if (i := await self.get(k))], self.service.revision
+        return [item for k in keys if (item := await self.get(k))], self.service.revision
 
     async def commit(self, txn: state_messages.Transaction) -> state_messages.Committed | state_messages.Conflict:
         self.requests += 1
@@ -49,7 +49,9 @@
         )
 
 
-class Uploads:
+class InMemoryUploadStore:
+    """An upload store, with the interface of its client."""
+
     def __init__(self) -> None:
         self.blobs: dict[str, bytes] = {}
         self.tasks: dict[str, dict[int, list[flow_messages.TaskDescription]]] = {}
@@ -62,36 +64,48 @@
     async def get(self, digest: str) -> bytes:
         return self.blobs[digest]
 
-    async def put_task_descriptions(self, job: str, page: int, works: list[flow_messages.TaskDescription]) -> None:
-        self.tasks.setdefault(job, {}).setdefault(page, works)
+    async def put_task_descriptions(
+        self, job: str, page: int, descriptions: list[flow_messages.TaskDescription]
+    ) -> None:
+        self.tasks.setdefault(job, {}).setdefault(page, descriptions)
 
     async def task_results(self, job: str, failed: bool = False) -> list[flow_messages.TaskResultItem]:
-        def text(work: flow_messages.TaskDescription) -> str:
-            return "(" + "+".join(work.command[1:]) + ")"
+        def output(description: flow_messages.TaskDescription) -> str:
+            return "(" + "+".join(description.command[1:]) + ")"
 
-        works = chain(*self.tasks[job].values())
+        descriptions = chain(*self.tasks[job].values())
         return [
             flow_messages.TaskResultItem(
-                n,
+                number,
                 flow_messages.TaskResult(
-                    "vm-1", 1, 0, True, {"out": [{"class": "File", "basename": "out.txt", "contents": text(w)}]}
+                    "vm-1",
+                    1,
+                    0,
+                    True,
+                    {"out": [{"class": "File", "basename": "out.txt", "contents": output(description)}]},
                 ),
             )
-            for n, w in enumerate(works)
+            for number, description in enumerate(descriptions)
         ]
 
 
-class Leads:
-    """What a run needs, around that state service. Its jobs are done by `work`."""
+class StandInLeader:
+    """The interface `Leader` around that state service; it knows no jobs, so their records are read."""
 
-    def __init__(self, service: Direct, uploads: Uploads, settings: Settings, types: dict[str, MachineType]) -> None:
+    def __init__(
+        self,
+        service: InProcessStateClient,
+        uploads: InMemoryUploadStore,
+        settings: Settings,
+        types: dict[str, MachineType],
+    ) -> None:
         self.settings = settings
         self._types = types
         self.state: Any = service
         self.files: Any = uploads
         self.engines = Engines()
         self.open_jobs_max = 3
-        self.term = service.service.version("leader")  # its own key's revision, whoever leads later
+        self.fencing_token = service.service.version("leader")  # the leadership key's revision at the start of its term
 
     def machine_types(self) -> dict[str, MachineType]:
         return self._types
@@ -106,7 +120,7 @@
         pass
 
     def fence_condition(self) -> state_messages.Condition:
-        return state_messages.Condition("leader", self.term)
+        return state_messages.Condition("leader", self.fencing_token)
 
     async def cancel_job(self, ref: str) -> None:
         if f"job/{ref}" in self.state.service.keys:
--- a/standins/flowlab.py
+++ b/standins/flowlab.py
@@ -1,10 +1,10 @@
-"""Measurements of workflows, without machines: what the engine costs, and what division of the deadline gives.
+"""Measurements of workflows without real machines: the cost of the engine, and the effect of deadline division.
 
     python -m standins.flowlab cost OUT        changes, requests and processor time per step, 10 to 10,000 steps
-    python -m standins.flowlab deadlines OUT   deadlines met and price by division, on simulated machines
+    python -m standins.flowlab deadlines OUT   deadlines met and price, by division, on simulated machines
 
-OUT is a folder for figures (CSV) and plots. Both use the code that serves; the state service and the machines are
-stand-ins in this process, time in the second is simulated.
+OUT is the directory for the figures (CSV) and plots. Both run the production code with stand-ins for the state service
+and the machines, in one process; `deadlines` uses simulated time.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 from winglift.config import settings as settings_module
 from winglift.flows import records
-from winglift.flows.graph import Node, critical, divide_deadline
+from winglift.flows.graph import Node, critical, divide
 from winglift.flows.run import FlowRun
 from winglift.model.quota import QuotaUsage
 from winglift.policy import snapshot as policy_snapshot
@@ -34,7 +34,7 @@
 from winglift.wire.users import Kind, Priority, Submission
 
 from .__main__ import TEMPLATE
-from .flow_leader import Direct, Leads, Uploads
+from .flow_leader import InMemoryUploadStore, InProcessStateClient, StandInLeader
 from .state import StateService
 
 SETTINGS = settings_module.parse(
@@ -71,7 +71,8 @@
 # -- cost ------------------------------------------------------------------------------------------
 
 
-def shaped(shape: str, count: int) -> tuple[flow_messages.Plan, dict[str, Any]]:
+def build_plan(shape: str, count: int) -> tuple[flow_messages.Plan, dict[str, Any]]:
+    """A plan with `count` steps or scatter elements, and its order."""
     tool = flow_messages.Tool(
         [flow_messages.Param("x", "string", binding=flow_messages.Binding())],
         [flow_messages.Output("out", "string", ["o"], True, "$(self[0].contents)")],
@@ -109,35 +110,36 @@
     return plan, {"one": "a", "many": [str(i) for i in range(count)] if shape == "scatter" else []}
 
 
-class Heartbeat:
-    """The longest time (s of the processor) in which nothing else in the process could run."""
+class EventLoopMonitor:
+    """Measures the longest processor time, in s, for which the event loop was blocked."""
 
     def __init__(self) -> None:
-        self.longest = 0.0
+        self.longest_block_s = 0.0
         self._last = time.process_time()
         self._task = asyncio.ensure_future(self._run())
 
     async def _run(self) -> None:
         while True:
             now = time.process_time()
-            self.longest, self._last = max(self.longest, now - self._last), now  # after a pause it is -inf
+            # After `pause`, `now - self._last` is -inf.
+            self.longest_block_s, self._last = max(self.longest_block_s, now - self._last), now
             await asyncio.sleep(0)
 
     def pause(self) -> None:
-        """What was done since the last beat is the lab's own."""
+        """Leave out what follows, up to the next run of the event loop: work of the measurement itself."""
         now = time.process_time()
-        self.longest = max(self.longest, now - self._last)
+        self.longest_block_s = max(self.longest_block_s, now - self._last)
         self._last = math.inf
 
     def stop(self) -> float:
         self._task.cancel()
-        return self.longest
+        return self.longest_block_s
 
 
-async def _cost(shape: str, count: int) -> dict[str, Any]:
-    plan, order = shaped(shape, count)
-    service, uploads = StateService(), Uploads()
-    direct = Direct(service)
+async def _measure_cost(shape: str, count: int) -> dict[str, Any]:
+    plan, order = build_plan(shape, count)
+    service, uploads = StateService(), InMemoryUploadStore()
+    client = InProcessStateClient(service)
     service.apply([{"write": "leader", "v": {}}])
     sub = flow_messages.FlowSubmission(
         ref="fl-1",
@@ -147,43 +149,43 @@
         order=await uploads.put(msgspec.json.encode(order)),
     )
     service.apply([{"write": "flow/fl-1", "v": msgspec.to_builtins(records.Head(sub, time.time()))}])
-    leads = Leads(direct, uploads, SETTINGS, TYPES)
-    leads.open_jobs_max = 100
-    item = await direct.get("flow/fl-1")
+    leader = StandInLeader(client, uploads, SETTINGS, TYPES)
+    leader.open_jobs_max = 100
+    item = await client.get("flow/fl-1")
     assert item is not None
-    run = FlowRun(leads, records.decode_head(item.value), item.version)
-    spent, changes, direct.requests = 0.0, 0, 0
-    beat = Heartbeat()
-    began = time.process_time()
+    run = FlowRun(leader, records.decode_head(item.value), item.version)
+    cpu_s, revisions, client.requests = 0.0, 0, 0
+    monitor = EventLoopMonitor()
+    start = time.process_time()
     await run.load()
     while True:
         before = service.revision
         await run.run_cycle()
-        changes += service.revision - before
+        revisions += service.revision - before
         if run.flow_record.state is flow_messages.FlowState.DONE:
             break
-        spent -= time.process_time()
-        beat.pause()
+        cpu_s -= time.process_time()
+        monitor.pause()
         for key, (value, _, _) in list(service.keys.items()) if shape != "chain" else [last_job(service)]:
             if key.startswith("job/") and value.get("o", "o") == "o":
                 service.apply([{"write": key, "v": value | {"o": "d"}}])
-        spent += time.process_time()
-    spent = time.process_time() - began - spent
-    longest = beat.stop()
-    largest = max(len(msgspec.json.encode(v)) for v, _, _ in service.keys.values())
-    # Taken over: what a new leader spends to stand where this one stands.
-    began = time.process_time()
-    again = FlowRun(leads, records.decode_head(item.value), item.version)
-    await again.load()
+        cpu_s += time.process_time()
+    cpu_s = time.process_time() - start - cpu_s
+    longest_block_s = monitor.stop()
+    largest_value = max(len(msgspec.json.encode(v)) for v, _, _ in service.keys.values())
+    # The takeover by a new leader: it rebuilds the state from the records.
+    start = time.process_time()
+    rebuilt = FlowRun(leader, records.decode_head(item.value), item.version)
+    await rebuilt.load()
     return {
         "shape": shape,
         "steps": count,
-        "cpu_ms_per_step": 1000 * spent / count,
-        "changes_per_step": changes / count,
-        "requests_per_step": direct.requests / count,
-        "largest_value_bytes": largest,
-        "longest_block_ms": 1000 * longest,
-        "takeover_s": time.process_time() - began,
+        "cpu_ms_per_step": 1000 * cpu_s / count,
+        "changes_per_step": revisions / count,
+        "requests_per_step": client.requests / count,
+        "largest_value_bytes": largest_value,
+        "longest_block_ms": 1000 * longest_block_s,
+        "takeover_s": time.process_time() - start,
     }
 
 
@@ -191,22 +193,22 @@
     return next((k, v) for k, v in reversed(service.keys.items()) if k.startswith("job/"))
 
 
-def cost(shape: str, count: int) -> dict[str, Any]:
-    return asyncio.run(_cost(shape, count))
+def measure_cost(shape: str, count: int) -> dict[str, Any]:
+    return asyncio.run(_measure_cost(shape, count))
 
 
 # -- deadlines -------------------------------------------------------------------------------------
 
 
-def graph_of(shape: str, chance: random.Random) -> dict[str, Node]:
-    """Shapes of the paper's workflows, with run times of 5 to 120 s."""
+def generate_graph(shape: str, rng: random.Random) -> dict[str, Node]:
+    """A random graph with the shape of a scientific workflow, and run times of 5 to 120 s."""
     nodes: dict[str, Node] = {}
 
     def add(name: str, *parents: str) -> str:
         nodes[name] = Node(
             name,
             "tool",
-            flow_messages.Hints(run_s=min(120.0, max(5.0, chance.lognormvariate(3.2, 0.8)))),
+            flow_messages.Hints(run_s=min(120.0, max(5.0, rng.lognormvariate(3.2, 0.8)))),
             False,
             set(parents),
         )
@@ -219,7 +221,7 @@
     elif shape == "fan":
         first = add("first")
         add("last", *[add(f"m{i}", first) for i in range(12)])
-    elif shape == "lanes":  # parallel pipelines that join, as Epigenomics
+    elif shape == "lanes":  # parallel pipelines that join, like Epigenomics
         first = add("first")
         ends = []
         for lane in range(5):
@@ -228,7 +230,7 @@
                 last = add(f"l{lane}.{number}", last)
             ends.append(last)
         add("report", add("join", *ends))
-    else:  # two fans with a narrow waist, as Montage
+    else:  # two fans joined by one step, like Montage
         left = [add(f"a{i}") for i in range(6)]
         pairs = [add(f"b{i}", left[i], left[i + 1]) for i in range(5)]
         waist = add("waist", *pairs)
@@ -238,89 +240,92 @@
 
 
 def levels(nodes: dict[str, Node]) -> dict[str, int]:
-    found: dict[str, int] = {}
+    """Number of steps before each step on its longest path."""
+    levels_by_path: dict[str, int] = {}
     for path, node in nodes.items():
-        found[path] = max((found[p] + 1 for p in node.parents), default=0)
-    return found
+        levels_by_path[path] = max((levels_by_path[p] + 1 for p in node.parents), default=0)
+    return levels_by_path
 
 
-class Flow:
-    def __init__(self, name: str, nodes: dict[str, Node], begin: float, due: float, chance: random.Random) -> None:
-        self.name, self.nodes, self.begin, self.due = name, nodes, begin, due
+class SimulatedFlow:
+    def __init__(self, name: str, nodes: dict[str, Node], start: float, due: float, rng: random.Random) -> None:
+        self.name, self.nodes, self.start, self.due = name, nodes, start, due
         self.levels = levels(nodes)
-        # As estimates are: often wrong by a third.
-        self.real = {p: n.run_s * chance.uniform(0.7, 1.35) for p, n in nodes.items()}
-        self.ends: dict[str, float] = {}
+        # Estimates are often wrong by a third.
+        self.real_run_s = {p: n.run_s * rng.uniform(0.7, 1.35) for p, n in nodes.items()}
+        self.end_times: dict[str, float] = {}
         self.started: set[str] = set()
 
-    def deadline(self, path: str, how: str) -> float:
-        if how == "none":
+    def sub_deadline(self, path: str, division: str) -> float:
+        if division == "none":
             return self.due
-        if how == "equal":
+        if division == "equal":
             depth = max(self.levels.values()) + 1
-            return self.begin + (self.due - self.begin) * (self.levels[path] + 1) / depth
-        dues = divide_deadline(self.nodes, self.begin, self.due, self.ends, {})
-        return dues[path] if how == "run time" else self._latest(dues)[path]
-
-    def _latest(self, dues: dict[str, float]) -> dict[str, float]:
-        """Not served, measured only: the same shares, but a step off the critical path may end as late as the steps
-        after it still keep theirs."""
-        open_ = [p for p in self.nodes if p not in self.ends]
-        begin = max([self.begin, *self.ends.values()])
+            return self.start + (self.due - self.start) * (self.levels[path] + 1) / depth
+        sub_deadlines = divide(self.nodes, self.start, self.due, self.end_times, {})
+        return sub_deadlines[path] if division == "run time" else self._latest_sub_deadlines(sub_deadlines)[path]
+
+    def _latest_sub_deadlines(self, sub_deadlines: dict[str, float]) -> dict[str, float]:
+        """A division that is measured only, not used by winglift: latest sub-deadlines.
+
+        A step off the critical path may end as late as its successors' sub-deadlines allow.
+        """
+        open_steps = [p for p in self.nodes if p not in self.end_times]
+        start = max([self.start, *self.end_times.values()])
         makespan = max(
             split_deadline(
                 [{p: n.run_s for p, n in self.nodes.items()}],
                 {p: sorted(n.parents) for p, n in self.nodes.items()},
-                self.begin,
+                self.start,
                 0.0,
-                self.ends,
+                self.end_times,
             ).values()
         )
-        stretch = max(1.0, (self.due - begin) / max(1e-6, makespan - begin))
-        found = dict.fromkeys(open_, max(self.due, max(dues.values())))
-        for child in reversed(open_):  # parents come before their children
+        stretch = max(1.0, (self.due - start) / max(1e-6, makespan - start))
+        latest = dict.fromkeys(open_steps, max(self.due, max(sub_deadlines.values())))
+        for child in reversed(open_steps):  # parents come before their children
             for parent in self.nodes[child].parents:
-                if parent in found:
-                    found[parent] = min(found[parent], found[child] - self.nodes[child].run_s * stretch)
-        return found
+                if parent in latest:
+                    latest[parent] = min(latest[parent], latest[child] - self.nodes[child].run_s * stretch)
+        return latest
 
 
-class Box:
-    def __init__(self, name: str, kind: MachineType, now: float) -> None:
-        self.name, self.kind, self.rented, self.ready = name, kind, now, now + kind.boot_s
-        self.tasks: list[tuple[float, Flow, str]] = []
+class SimulatedMachine:
+    def __init__(self, name: str, machine_type: MachineType, now: float) -> None:
+        self.name, self.machine_type, self.rented_at, self.ready_at = name, machine_type, now, now + machine_type.boot_s
+        self.tasks: list[tuple[float, SimulatedFlow, str]] = []  # end time, workflow, step
         self.images: set[str] = set()
-        self.idle = self.ready
+        self.idle_since = self.ready_at
 
 
-def deadlines(shape: str, factor: float, how: str, seed: int) -> dict[str, Any]:
-    """Twelve workflows of a shape that come over ten minutes; cycles of one second of simulated time."""
-    chance = random.Random(f"{shape} {factor} {seed}")
+def simulate_deadlines(shape: str, factor: float, division: str, seed: int) -> dict[str, Any]:
+    """Simulate twelve workflows of one shape, submitted within ten minutes, with scheduling cycles of one second."""
+    rng = random.Random(f"{shape} {factor} {seed}")
     flows = []
     for number in range(12):
-        nodes = graph_of(shape, chance)
-        begin = chance.uniform(0, 600)
+        nodes = generate_graph(shape, rng)
+        start = rng.uniform(0, 600)
         span = sum(nodes[p].run_s for p in critical(nodes))
-        flows.append(Flow(f"f{number}", nodes, begin, begin + SMALL.boot_s + span * factor, chance))
-    boxes: dict[str, Box] = {}
-    spent = used = 0.0
+        flows.append(SimulatedFlow(f"f{number}", nodes, start, start + SMALL.boot_s + span * factor, rng))
+    machines: dict[str, SimulatedMachine] = {}
+    price = minimum_price = 0.0
     number, now = 0, 0.0
-    while any(len(f.ends) < len(f.nodes) for f in flows) and now < 20000:
+    while any(len(f.end_times) < len(f.nodes) for f in flows) and now < 20000:
         now += 1.0
-        for box in boxes.values():
-            for task in [t for t in box.tasks if t[0] <= now]:
-                box.tasks.remove(task)
-                task[1].ends[task[2]] = task[0]
-                box.idle = now
-        needs, refs = [], {}
+        for machine in machines.values():
+            for task in [t for t in machine.tasks if t[0] <= now]:
+                machine.tasks.remove(task)
+                task[1].end_times[task[2]] = task[0]
+                machine.idle_since = now
+        demands, steps_by_ref = [], {}
         for flow in flows:
-            if flow.begin > now:
+            if flow.start > now:
                 continue
             for path, node in flow.nodes.items():
-                if path in flow.started or not node.parents <= flow.ends.keys():
+                if path in flow.started or not node.parents <= flow.end_times.keys():
                     continue
-                ref = f"wk-{len(refs)}"
-                refs[ref] = flow, path
+                ref = f"wk-{len(steps_by_ref)}"
+                steps_by_ref[ref] = flow, path
                 image = f"{shape}-{path.rstrip('0123456789')}"
                 spec = Submission(
                     ref=ref,
@@ -340,61 +345,63 @@
                     estimate_s=node.run_s,
                     checkpoint_s=0.0,
                     save_s=0.0,
-                    due_s=flow.due - flow.begin,
+                    due_s=flow.due - flow.start,
+                )
+                demands.append(
+                    policy_snapshot.Demand(ref, spec, [0], flow.sub_deadline(path, division), node.run_s, {})
                 )
-                needs.append(policy_snapshot.Demand(ref, spec, [0], flow.deadline(path, how), node.run_s, {}))
-        rooms = []
-        for box in boxes.values():
-            free = box.kind.cpus - 2.0 * len(box.tasks)
-            rooms.append(
+        capacities = []
+        for machine in machines.values():
+            free = machine.machine_type.cpus - 2.0 * len(machine.tasks)
+            capacities.append(
                 policy_snapshot.FreeCapacity(
-                    box.name,
-                    box.kind,
+                    machine.name,
+                    machine.machine_type,
                     "a",
                     False,
                     free,
                     0.0,
-                    box.kind.memory_gb - 4.0 * len(box.tasks),
-                    ready_in=max(0.0, box.ready - now),
-                    images=set(box.images),
-                    cached_images=set(box.images),
-                    empty=not box.tasks,
+                    machine.machine_type.memory_gb - 4.0 * len(machine.tasks),
+                    ready_in=max(0.0, machine.ready_at - now),
+                    images=set(machine.images),
+                    cached_images=set(machine.images),
+                    empty=not machine.tasks,
                 )
             )
-        if needs:
+        if demands:
             quota = QuotaUsage({t.name: t for t in SETTINGS.settings.teams})
-            plan = make_plan(policy_snapshot.Snapshot(now, rooms, needs, quota, TYPES, set()))
-            for ref, places in plan.starts:
-                flow, path = refs[ref]
-                box = boxes[places[0][1]]
-                image = next(n.spec for n in needs if n.ref == ref).image
-                fetch = 0.0 if image in box.images else 2.0 / box.kind.fetch_gb_per_s
-                box.images.add(image)
-                box.tasks.append((max(now, box.ready) + fetch + flow.real[path], flow, path))
+            plan = make_plan(policy_snapshot.Snapshot(now, capacities, demands, quota, TYPES, set()))
+            for ref, placements in plan.starts:
+                flow, path = steps_by_ref[ref]
+                machine = machines[placements[0][1]]
+                image = next(d.spec for d in demands if d.ref == ref).image
+                fetch = 0.0 if image in machine.images else 2.0 / machine.machine_type.fetch_gb_per_s
+                machine.images.add(image)
+                machine.tasks.append((max(now, machine.ready_at) + fetch + flow.real_run_s[path], flow, path))
                 flow.started.add(path)
             for rental in plan.rentals:
                 for _ in range(rental.count):
                     number += 1
-                    boxes[f"m{number}"] = Box(f"m{number}", TYPES[rental.type], now)
-        for box in list(boxes.values()):
-            if not box.tasks and now > max(box.idle, box.ready) + 30.0:
-                spent += (now - box.rented) * box.kind.price
-                del boxes[box.name]
-    spent += sum((now - b.rented) * b.kind.price for b in boxes.values())
-    used = sum(sum(f.real.values()) for f in flows) * 2.0 / SMALL.cpus * SMALL.price
-    met = sum(max(f.ends.values()) <= f.due for f in flows)
+                    machines[f"m{number}"] = SimulatedMachine(f"m{number}", TYPES[rental.type], now)
+        for machine in list(machines.values()):
+            if not machine.tasks and now > max(machine.idle_since, machine.ready_at) + 30.0:
+                price += (now - machine.rented_at) * machine.machine_type.price
+                del machines[machine.name]
+    price += sum((now - m.rented_at) * m.machine_type.price for m in machines.values())
+    minimum_price = sum(sum(f.real_run_s.values()) for f in flows) * 2.0 / SMALL.cpus * SMALL.price
+    met = sum(max(f.end_times.values()) <= f.due for f in flows)
     return {
         "shape": shape,
         "factor": factor,
-        "division": how,
+        "division": division,
         "seed": seed,
         "met": met / len(flows),
-        "price": spent / used,
-        "mean_lateness_s": sum(max(0.0, max(f.ends.values()) - f.due) for f in flows) / 12,
+        "price": price / minimum_price,
+        "mean_lateness_s": sum(max(0.0, max(f.end_times.values()) - f.due) for f in flows) / 12,
     }
 
 
-# -- the whole -------------------------------------------------------------------------------------
+# -- command line ----------------------------------------------------------------------------------
 
 SHAPES = ["pipeline", "fan", "lanes", "waist"]
 FACTORS = [1.2, 1.5, 2.0, 3.0]
@@ -426,8 +433,8 @@
         strict=True,
     ):
         for shape in ("chain", "fan", "scatter"):
-            found = [r for r in rows if r["shape"] == shape]
-            axis.loglog([r["steps"] for r in found], [r[field] for r in found], marker="o", label=shape)
+            selected = [r for r in rows if r["shape"] == shape]
+            axis.loglog([r["steps"] for r in selected], [r[field] for r in selected], marker="o", label=shape)
         axis.set_xlabel("steps")
         axis.set_title(title, fontsize=9)
         axis.grid(True, which="major", alpha=0.3)
@@ -444,14 +451,16 @@
 
     figure, axes = plt.subplots(2, len(SHAPES), figsize=(12, 5.2), sharex=True, sharey="row")
     for column, shape in enumerate(SHAPES):
-        for line, (field, title) in enumerate((("met", "deadlines met"), ("price", "price"))):
-            axis = axes[line][column]
-            for how in DIVISIONS:
+        for row, (field, title) in enumerate((("met", "deadlines met"), ("price", "price"))):
+            axis = axes[row][column]
+            for division in DIVISIONS:
                 points = []
                 for factor in FACTORS:
-                    found = [r[field] for r in rows if (r["shape"], r["factor"], r["division"]) == (shape, factor, how)]
-                    mean = sum(found) / len(found)
-                    error = math.sqrt(sum((v - mean) ** 2 for v in found) / max(1, len(found) - 1) / len(found))
+                    values = [
+                        r[field] for r in rows if (r["shape"], r["factor"], r["division"]) == (shape, factor, division)
+                    ]
+                    mean = sum(values) / len(values)
+                    error = math.sqrt(sum((v - mean) ** 2 for v in values) / max(1, len(values) - 1) / len(values))
                     points.append((factor, mean, error))
                 axis.errorbar(
                     [p[0] for p in points],
@@ -459,12 +468,12 @@
                     [p[2] for p in points],
                     marker="o",
                     capsize=2,
-                    label=how,
+                    label=division,
                 )
             axis.grid(True, alpha=0.3)
             if column == 0:
                 axis.set_ylabel(title)
-            if line == 0:
+            if row == 0:
                 axis.set_title(shape, fontsize=9)
             else:
                 axis.set_xlabel("deadline / critical path")
@@ -479,16 +488,16 @@
     out = pathlib.Path(sys.argv[2])
     out.mkdir(parents=True, exist_ok=True)
     if sys.argv[1] == "cost":
-        rows = [cost(shape, count) for shape in ("chain", "fan", "scatter") for count in (10, 100, 1000, 10000)]
+        rows = [measure_cost(shape, count) for shape in ("chain", "fan", "scatter") for count in (10, 100, 1000, 10000)]
         plot_cost(rows, out / "flow-cost.svg")
         write(rows, out / "flow-cost.csv")
         return
     with ProcessPoolExecutor() as pool:
         jobs = [
-            pool.submit(deadlines, shape, factor, how, seed)
+            pool.submit(simulate_deadlines, shape, factor, division, seed)
             for shape in SHAPES
             for factor in FACTORS
-            for how in DIVISIONS
+            for division in DIVISIONS
             for seed in range(20)
         ]
         rows = [job.result() for job in jobs]
--- a/tests/flow_world.py
+++ b/tests/flow_world.py
@@ -1,4 +1,4 @@
-"""A small deployment that serves workflows: stand-ins and nodes in this process, commands as real processes."""
+"""A small deployment with workflows: stand-ins and nodes in this process, tasks as real processes."""
 
 from __future__ import annotations
 
@@ -21,13 +21,15 @@
 from winglift.node import Node
 from winglift.wire import flows as flow_messages
 
-PATIENCE_S = 60.0  # far above what is needed: a slow machine must not change the verdict
-OTHER = '\n[[settings.teams]]\nname = "other"\ncpus = 0.0\ncpus_max = 0.0\ngpus = 2.0\ngpus_max = 4.0\n'
+TIMEOUT_S = 60.0  # far longer than needed, so that a slow machine doesn't fail a test
+OTHER_TEAM = '\n[[settings.teams]]\nname = "other"\ncpus = 0.0\ncpus_max = 0.0\ngpus = 2.0\ngpus_max = 4.0\n'
 
 
 class FlowWorld:
+    """Stand-ins and nodes of one test."""
+
     def __init__(self, folder: pathlib.Path, nodes: int) -> None:
-        self.stage = Stage(nodes, lambda task: 0.2, folder / "tasks", OTHER)
+        self.stage = Stage(nodes, lambda task: 0.2, folder / "tasks", OTHER_TEAM)
         self.server = Server(",".join(self.stage.addresses))
         self.files = Files(*settings_module.parse_addr(self.stage.files, "files"))
         self.nodes: dict[int, tuple[Node, asyncio.Task]] = {}
@@ -47,15 +49,15 @@
     def leader(self) -> int | None:
         return next((n for n, (node, _) in self.nodes.items() if node.leader_term is not None), None)
 
-    async def until(self, what: Callable[[], Awaitable[Any]]) -> Any:
-        end = time.monotonic() + PATIENCE_S
-        while not (found := await what()):
+    async def until(self, condition: Callable[[], Awaitable[Any]]) -> Any:
+        end = time.monotonic() + TIMEOUT_S
+        while not (result := await condition()):
             for node, task in self.nodes.values():
-                # It would answer on, and never lead: what ended it is the finding, not the time that is over.
+                # A node whose task has ended still answers requests, but never leads: report its error, not a timeout.
                 assert not task.done(), f"{node.settings.node} has ended: {task.exception()!r}"
-            assert time.monotonic() < end, "it did not happen in time"
+            assert time.monotonic() < end, "timed out"
             await asyncio.sleep(0.05)
-        return found
+        return result
 
     async def upload(self, checked: Checked) -> tuple[str, str]:
         for content in checked.blobs.values():
@@ -65,20 +67,20 @@
             await self.files.put(msgspec.json.encode(checked.order)),
         )
 
-    async def submit(self, checked: Checked, ref: str, **more: Any) -> str:
+    async def submit(self, checked: Checked, ref: str, **fields: Any) -> str:
         plan, order = await self.upload(checked)
-        sub = flow_messages.FlowSubmission(ref=ref, **{"team": "team", "plan": plan, "order": order} | more)
+        sub = flow_messages.FlowSubmission(ref=ref, **{"team": "team", "plan": plan, "order": order} | fields)
         return (await self.server.reply("POST", "/flows", flow_messages.encode(sub))).ref
 
     async def status(self, ref: str) -> flow_messages.FlowReply:
         return await self.server.flow(ref)
 
     async def ends(self, ref: str) -> flow_messages.FlowReply:
-        async def over() -> flow_messages.FlowReply | None:
+        async def ended() -> flow_messages.FlowReply | None:
             reply = await self.status(ref)
             return reply if reply.state is not flow_messages.FlowState.OPEN else None
 
-        return await self.until(over)
+        return await self.until(ended)
 
     async def outputs(self, ref: str) -> Any:
         reply = await self.ends(ref)
@@ -86,7 +88,7 @@
         return msgspec.json.decode(await self.files.get(reply.outputs))
 
     def specs(self) -> list[dict[str, Any]]:
-        """All jobs in the state service."""
+        """The specs of all jobs in the state service."""
         return [value["s"] for key, (value, _, _) in self.stage.state.keys.items() if key.startswith("job/")]
 
     def records(self, ref: str) -> list[dict[str, Any]]:
@@ -97,18 +99,18 @@
         return self.stage.processes.runs
 
     def tasks(self) -> set[str]:
-        """Tasks that were started, however often: on a machine that is busy elsewhere a worker's lease may run out."""
+        """Started tasks, each once: on a busy test machine a worker's lease may expire and its tasks start again."""
         return {task for task, _, _ in self.starts()}
 
 
 @contextlib.asynccontextmanager
 async def flow_world(folder: pathlib.Path, nodes: int = 1) -> AsyncIterator[FlowWorld]:
-    made = FlowWorld(folder, nodes)
+    world = FlowWorld(folder, nodes)
     try:
         for number in range(nodes):
-            made.start(number)
-        yield made
+            world.start(number)
+        yield world
     finally:
-        for number in list(made.nodes):
-            made.kill(number)
-        await made.stage.stop()
+        for number in list(world.nodes):
+            world.kill(number)
+        await world.stage.stop()
--- a/tests/test_flow_engine.py
+++ b/tests/test_flow_engine.py
@@ -14,13 +14,13 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from standins.flow_leader import Direct, Leads, Uploads
+from standins.flow_leader import InMemoryUploadStore, InProcessStateClient, StandInLeader
 from standins.state import StateService
 from winglift.flows import records
 from winglift.flows.command import TaskResources
 from winglift.flows.engine import Engine
 from winglift.flows.expressions import Endless, Engines, Evaluator, ExpressionError
-from winglift.flows.graph import Node, critical, divide_deadline, graph
+from winglift.flows.graph import Node, critical, divide, graph
 from winglift.flows.leader import Superseded
 from winglift.flows.parts import StepJob, build_submission
 from winglift.flows.run import FlowRun
@@ -106,7 +106,7 @@
 def test_a_division_reaches_the_deadline_rises_along_paths_and_keeps_real_ends(plan, share, data):
     nodes = graph(plan)
     span = sum(nodes[p].run_s for p in critical(nodes))
-    due = divide_deadline(nodes, 100.0, 100.0 + span * share, {}, {})
+    due = divide(nodes, 100.0, 100.0 + span * share, {}, {})
     for path, node in nodes.items():
         begin = max((due[p] for p in node.parents), default=100.0)
         # Along every path each step gets its run time at least, and in proportion to it where there is time over.
@@ -115,13 +115,13 @@
     # A step ends early or late: what follows is divided anew, up to the same deadline if it can be met.
     first = data.draw(st.sampled_from([p for p, n in nodes.items() if not n.parents]))
     end = 100.0 + data.draw(st.floats(0.0, span))
-    again = divide_deadline(nodes, 100.0, 100.0 + span * share, {first: end}, {})
+    again = divide(nodes, 100.0, 100.0 + span * share, {first: end}, {})
     assert again[first] == end
     for path, node in nodes.items():
         assert path == first or all(again[path] >= again[p] - 1e-6 for p in node.parents)
     # A scatter that is wider than thought takes time from the others, never from itself.
-    wide = divide_deadline(nodes, 100.0, 100.0 + span * 3, {}, {first: 2.0})
-    before = divide_deadline(nodes, 100.0, 100.0 + span * 3, {}, {})
+    wide = divide(nodes, 100.0, 100.0 + span * 3, {}, {first: 2.0})
+    before = divide(nodes, 100.0, 100.0 + span * 3, {}, {})
     assert wide[first] >= before[first] - 1e-6
 
 
@@ -168,7 +168,7 @@
 # -- a leader that may die between any two actions -------------------------------------------------
 
 
-class Trouble(Direct):
+class Trouble(InProcessStateClient):
     """Each commit may be refused, or done without an answer; or its leader dies before or after it."""
 
     def __init__(self, service: StateService, chance: random.Random) -> None:
@@ -217,7 +217,7 @@
 def test_no_step_is_doubled_forgotten_or_lost_whenever_the_leader_dies(plan, seed, cancelled):
     async def scenario() -> None:
         chance = random.Random(seed)
-        service, uploads = StateService(), Uploads()
+        service, uploads = StateService(), InMemoryUploadStore()
         trouble = Trouble(service, chance)
         service.apply([{"write": "leader", "v": {}}])
         sub = flow_messages.FlowSubmission(
@@ -240,7 +240,7 @@
                 break
             try:
                 if run is None or run.version != item.version:
-                    run = FlowRun(Leads(trouble, uploads, settings(), {"g4": TYPE}), flow_record, item.version)
+                    run = FlowRun(StandInLeader(trouble, uploads, settings(), {"g4": TYPE}), flow_record, item.version)
                     await run.load()
                 if cancelled and turn == 12 and flow_record.state is flow_messages.FlowState.OPEN:
                     service.apply([{"write": "flow/fl-1", "v": service.keys["flow/fl-1"][0] | {"state": "cancelled"}}])
--- a/winglift/flows/graph.py
+++ b/winglift/flows/graph.py
@@ -141,7 +141,7 @@
         return split_deadline([run_s], self._parents, start, deadline, end_times, self._order) if run_s else {}
 
 
-def divide_deadline(
+def divide(
     nodes: Mapping[str, Node],
     start: float,
     deadline: float,
