--- a/winglift/flows/driver.py
+++ b/winglift/flows/driver.py
@@ -43,13 +43,13 @@
         self.open_jobs_max = settings.open_jobs
         self._jobs = jobs
         self._flow_records: dict[str, tuple[int, records.Head]] = {}
-        self._drivers: dict[str, asyncio.Task[None]] = {}
+        self._flow_tasks: dict[str, asyncio.Task[None]] = {}
         self._wake_ups: dict[str, asyncio.Event] = {}
-        self._task = asyncio.ensure_future(self._watch_records())
+        self._watch_task = asyncio.ensure_future(self._watch_records())
 
     def stop(self) -> None:
-        self._task.cancel()
-        for task in self._drivers.values():
+        self._watch_task.cancel()
+        for task in self._flow_tasks.values():
             task.cancel()
 
     # -- the interface `Leader` ----------------------------------------------------------------
@@ -111,10 +111,10 @@
         if wake_up is not None:
             wake_up.set()
         ended = record.state is FlowState.DONE or record.jobs_cancelled
-        if not ended and ref not in self._drivers:
+        if not ended and ref not in self._flow_tasks:
             self._wake_ups[ref] = asyncio.Event()
-            self._drivers[ref] = asyncio.ensure_future(self._drive_workflow(ref))
-        elif ended and ref not in self._drivers:
+            self._flow_tasks[ref] = asyncio.ensure_future(self._drive_workflow(ref))
+        elif ended and ref not in self._flow_tasks:
             del self._flow_records[ref]
 
     # -- one workflow --------------------------------------------------------------------------
@@ -161,7 +161,7 @@
             log.exception("%s: run failed, restarting", ref)
             await asyncio.sleep(5.0)
         finally:
-            self._drivers.pop(ref, None)
+            self._flow_tasks.pop(ref, None)
             self._wake_ups.pop(ref, None)
             versioned = self._flow_records.pop(ref, None)
             if versioned is not None and not (versioned[1].state is FlowState.DONE or versioned[1].jobs_cancelled):
@@ -169,7 +169,7 @@
 
     def _restart(self, ref: str, version: int, record: records.Head) -> None:
         """Restart a run that ended by an unexpected exception, unless this term has ended."""
-        if not self._task.done() and ref not in self._drivers:
+        if not self._watch_task.done() and ref not in self._flow_tasks:
             self._apply_flow_record(records.HEAD + ref, version, job_records.encode(record))  # type: ignore[arg-type]
 
     async def _fail(self, run: FlowRun, err: Exception) -> None:
--- a/winglift/flows/records.py
+++ b/winglift/flows/records.py
@@ -23,7 +23,7 @@
 class Head(msgspec.Struct, omit_defaults=True, rename={"jobs_cancelled": "tidy", "steps_removed": "swept"}):
     """The record of a workflow.
 
-    `jobs_cancelled`: it failed or was cancelled, and no job of it is open. `steps_removed`: its step records have been
+    `jobs_cancelled`: it has ended, and no job of it is open any more. `steps_removed`: its step records have been
     deleted.
     """
 
--- a/winglift/flows/service.py
+++ b/winglift/flows/service.py
@@ -95,7 +95,7 @@
         return None if item is None else (records.decode_head(item.value), item.version)
 
     async def submit(self, sub: FlowSubmission) -> tuple[int, FlowReply]:
-        """Accept a workflow: 201 once it is committed (invariant 4: durable), 200 if it exists already."""
+        """Accept a workflow: 201 only once it is committed (invariant 4), 200 if it exists already."""
         known = await self._read_record(sub.ref)
         if known is None:
             if all(t.name != sub.team for t in self.node.settings.settings.teams):
@@ -196,7 +196,7 @@
         return flow_messages.FlowList(replies, len(remaining) > constants.FLOWS_PER_PAGE_MAX, self.settings.files)
 
     async def cancel(self, ref: str) -> FlowReply | None:
-        """Cancel a workflow and reply once this is committed (invariant 4: durable).
+        """Cancel a workflow and reply only once this is committed (invariant 4).
 
         From then on no step of it is submitted, and the leader cancels its open jobs.
         """
