--- a/winglift/flows/engine.py
+++ b/winglift/flows/engine.py
@@ -93,7 +93,7 @@
 
 
 class Engine:
-    """Usage: `start()`; then repeatedly `go()`, `take()` the ready leaves, and `complete_step()` for ended ones."""
+    """Usage: `start()`; then repeatedly `go()`, `take()`, and `complete_step()` for each leaf that has ended."""
 
     def __init__(self, plan: Plan, order: dict[str, Any], engines: Engines) -> None:
         self.plan = plan
@@ -114,7 +114,7 @@
         return evaluator
 
     def start(self) -> None:
-        """Start the main workflow. Raises Needs, FlowError."""
+        """Start the main workflow. Raises ContentNeeded, FlowError."""
         main = self.plan.processes[self.plan.main]
         if not isinstance(main, Workflow):
             raise FlowError("the plan's main process is not a workflow")
@@ -123,7 +123,7 @@
     def go(self, steps_max: int | None = None) -> bool:
         """Prepare the steps whose inputs are known, at most `steps_max`; return whether others are left.
 
-        Raises FlowError, and Needs: it is to be called again once the content is in `contents`.
+        Raises FlowError, and ContentNeeded: it is to be called again once the content is in `contents`.
         """
         prepared = 0
         while self._prepare_queue and (steps_max is None or prepared < steps_max):
@@ -234,7 +234,7 @@
             raise FlowError(f"{where}: {err}") from None
 
     def _load_contents(self, value: Any) -> Any:
-        """The value, with the contents of its files. Raises Needs for the first content that is missing."""
+        """The value, with the contents of its files. Raises ContentNeeded for the first content that is missing."""
         for file in find_files(value):
             if "contents" not in file:
                 digest = file["location"].removeprefix(UPLOAD_PREFIX)
@@ -247,7 +247,7 @@
         return value
 
     def _check_inputs(self, params: list[Param], given: dict[str, Any], where: str) -> dict[str, Any]:
-        """The inputs of a process, with defaults and contents. Raises FlowError if one has a wrong type, Needs."""
+        """The inputs of a process, with defaults and contents. Raises ContentNeeded, or FlowError for a wrong type."""
         checked = {}
         for param in params:
             value = given.get(param.name)
--- a/winglift/flows/service.py
+++ b/winglift/flows/service.py
@@ -80,7 +80,7 @@
     # -- users' requests -----------------------------------------------------------------------
 
     async def _graph(self, plan: str) -> dict[str, Node]:
-        """The graph of a plan, from a cache. Raises InvalidMessage, FlowError, FilesError."""
+        """The graph of a plan, from a cache. Raises InvalidMessage, FlowError, UploadStoreError."""
         if plan not in self._graphs:
             self._graphs[plan] = (await asyncio.to_thread(parse_graph, await self.files.get(plan)))[1]
             while len(self._graphs) > 1 and sum(map(len, self._graphs.values())) > constants.FLOW_STEPS_MAX:
