--- a/winglift/flows/driver.py
+++ b/winglift/flows/driver.py
@@ -85,18 +85,18 @@
             try:
                 items, revision = await self.state.list(records.HEAD)
                 for item in items:
-                    self._apply_flow_record(item.key, item.version, item.value)
+                    self._apply_record(item.key, item.version, item.value)
                 while True:
                     changes = await self.state.changes(records.HEAD, revision)
                     for event in changes.events:
                         if event.put is not None:
-                            self._apply_flow_record(event.put, event.version, event.value)
+                            self._apply_record(event.put, event.version, event.value)
                     revision = max(revision, changes.revision)
             except (RequestRejected, OutcomeUnknown, RevisionCompacted) as err:
                 log.debug("workflows: watch of the records failed: %s", err)
                 await asyncio.sleep(0.5)
 
-    def _apply_flow_record(self, key: str, version: int, value) -> None:  # type: ignore[no-untyped-def]
+    def _apply_record(self, key: str, version: int, value) -> None:  # type: ignore[no-untyped-def]
         ref = key.removeprefix(records.HEAD)
         try:
             record = records.decode_head(value)
@@ -170,7 +170,7 @@
     def _restart(self, ref: str, version: int, record: records.Head) -> None:
         """Restart a run that ended by an unexpected exception, unless this term has ended."""
         if not self._watch_task.done() and ref not in self._flow_tasks:
-            self._apply_flow_record(records.HEAD + ref, version, job_records.encode(record))  # type: ignore[arg-type]
+            self._apply_record(records.HEAD + ref, version, job_records.encode(record))  # type: ignore[arg-type]
 
     async def _fail(self, run: FlowRun, err: Exception) -> None:
         log.debug("%s: %s", run.ref, err)
@@ -186,7 +186,7 @@
         try:
             item = await self.state.get(records.HEAD + ref)
             if item is not None:
-                self._apply_flow_record(records.HEAD + ref, item.version, item.value)
+                self._apply_record(records.HEAD + ref, item.version, item.value)
         except (RequestRejected, OutcomeUnknown) as err:
             log.debug("%s: %s", ref, err)
 
--- a/winglift/flows/engine.py
+++ b/winglift/flows/engine.py
@@ -93,7 +93,7 @@
 
 
 class Engine:
-    """Usage: `start()`; then repeatedly `go()`, `take()`, and `complete_step()` for each leaf that has ended."""
+    """Usage: `start()`; then repeatedly `go()`, `take()`, and `complete_step()` for each ended leaf."""
 
     def __init__(self, plan: Plan, order: dict[str, Any], engines: Engines) -> None:
         self.plan = plan
