--- a/winglift/constants.py
+++ b/winglift/constants.py
@@ -110,10 +110,10 @@
 CANCELLATION_URGENT_SHARE = 0.7  # of cancel_s
 # From this age on, deleting a machine at once is no better than waiting for its report.
 CANCELLATION_OVERDUE_RATIO = 1.3  # of cancel_s
-# A start in flight may still arrive this long after a cancellation: LEADER_LEASE_S in which a leader that does not know
-# of it may send one, 4 s in which a worker accepts the answer, and 1 s.
+# A start in flight may still arrive this long after a cancellation: `LEADER_LEASE_S` in which a leader that does not
+# know of it may send one, 4 s in which a worker accepts the answer, and 1 s.
 CANCELLATION_SETTLE_S = 8.0  # s
-CANCELLATION_SETTLE_SHARE = 0.4  # of cancel_s; upper bound of that, less than CANCELLATION_DELETE_SHARE
+CANCELLATION_SETTLE_SHARE = 0.4  # of cancel_s; upper bound of that, less than `CANCELLATION_DELETE_SHARE`
 # Delay after which the next node in rank deletes what the node before it may have deleted.
 CANCELLATION_RANK_DELAY_SHARE = 0.06  # of cancel_s
 CANCELLATION_CHECK_INTERVAL_S = 0.25  # s between two checks of the cancellations to be enforced
@@ -137,7 +137,7 @@
 START_BACKOFF_INITIAL_S = 0.5  # s; first backoff after a failed start
 START_BACKOFF_MAX_S = 30.0  # s; longest such backoff
 # The longest backoff of a suspected job, until its user cancels it. If the job works and the machines were faulty, none
-# of its tasks waits for 90 s beside free capacity, including the run that proves it (SOUND_JOB_RUN_MIN_S).
+# of its tasks waits for 90 s beside free capacity, including the run that proves it (`SOUND_JOB_RUN_MIN_S`).
 SUSPECT_JOB_BACKOFF_MAX_S = 40.0  # s
 
 # --- cloud ------------------------------------------------------------------------------------
@@ -205,7 +205,7 @@
 INSPECTION_CACHE_STALE_MAX = 100  # deleted machines in that cache until it is cleaned up
 START_DEADLINE_S = 240.0  # s; the largest jobs too start within four minutes, as users demand
 # Capacity is reserved for a job that has waited longer: the rest of the deadline is for other tasks to finish.
-RESERVATION_DELAY_SHARE = 0.4  # ratio of START_DEADLINE_S
+RESERVATION_DELAY_SHARE = 0.4  # ratio of `START_DEADLINE_S`
 RESERVATION_MAX_S = 75.0  # s at a time; no task may wait for 90 s beside free capacity, and placing takes some seconds
 RESERVATION_PAUSE_S = 10.0  # s after that in which others may use the capacity: some cycles
 RESERVATION_MAX_SHARE = 0.5  # ratio of the running machines; upper bound of all reservations
@@ -231,7 +231,7 @@
 # less of boot and fetch once cost three times the price.
 SIMILAR_LATENESS_RATIO = 1.25  # times the earliest completion
 WARM_POOL_DEVIATIONS = 2.0  # standard deviations; arrivals beyond the expected ones that the warm pool covers
-IDLE_KEEP_S = 35.0  # s; an idle machine is kept this long once its minimum charge (MINIMUM_CHARGE_S) is used up
+IDLE_KEEP_S = 35.0  # s; an idle machine is kept this long once its minimum charge (`MINIMUM_CHARGE_S`) is used up
 RECENT_ARRIVALS_MAX = 500  # arrivals kept to size the warm pool; far more than the useful part of its window holds
 WARM_POOL_WINDOW_S = 300.0  # s; age of the arrivals that determine the size of the warm pool
 WARM_POOL_SLOT_S = 10.0  # s; length of the slots in which arrivals are counted
