--- a/tests/flow_world.py
+++ b/tests/flow_world.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 import msgspec
-from standins.local_services import LocalServices
 
+from standins.local_services import LocalServices
 from winglift.cli.client import ControllerClient
 from winglift.config import settings as settings_module
 from winglift.cwl.load import CheckedWorkflow
