--- a/winglift/flows/command.py
+++ b/winglift/flows/command.py
@@ -77,7 +77,7 @@
     def _evaluate_string(self, text: str, name: str) -> str:
         value = self.evaluate_text(text)
         if not isinstance(value, str):
-            raise FlowError(f"{self.where}: {name}: expected a string, got {value!r}")
+            raise FlowError(f"{self.where}: {name}: expected a text, got {value!r}")
         return value
 
     # -- files ---------------------------------------------------------------------------------
@@ -91,7 +91,7 @@
         """Stage a file or directory of the task in `directory`; return it with its path."""
         name = value.get("basename") or ""
         if not name or "/" in name or name in (".", ".."):
-            raise FlowError(f"{self.where}: invalid file name: {name!r}")
+            raise FlowError(f"{self.where}: no name for a file: {name!r}")
         path = f"{directory}/{name}"
         if value["class"] == "Directory":
             self._files[path] = InputFile(path)
@@ -102,7 +102,7 @@
         elif isinstance(value.get("contents"), str):
             self._files[path] = InputFile(path, self._add_blob(value["contents"].encode()))
         else:
-            raise FlowError(f"{self.where}: {name}: has neither contents nor an upload")
+            raise FlowError(f"{self.where}: {name}: neither content nor upload")
         return value | {"path": path}
 
     def _stage_inputs(self, value: Any) -> Any:
@@ -128,7 +128,7 @@
                     if old_path:
                         self.inputs = self._replace_path(self.inputs, old_path, staged)
                 elif name is None:
-                    raise FlowError(f"{self.where}: a text in InitialWorkDirRequirement needs an entryname")
+                    raise FlowError(f"{self.where}: a text in the work folder needs an entryname")
                 else:
                     text = entry if isinstance(entry, str) else msgspec.json.encode(entry).decode()
                     self._stage({"class": "File", "basename": name, "contents": text}, OUTPUT_DIR)
@@ -149,13 +149,13 @@
         if position is None:
             return 0
         if not isinstance(position, int):
-            raise FlowError(f"{self.where}: position: expected an integer, got {position!r}")
+            raise FlowError(f"{self.where}: position: expected a whole number, got {position!r}")
         return position
 
     def _to_argument(self, value: Any) -> str:
         if isinstance(value, dict):
             if "path" not in value:
-                raise FlowError(f"{self.where}: a record needs bindings to appear on the command line")
+                raise FlowError(f"{self.where}: a record without bindings can't stand on a command line")
             return value["path"]
         if isinstance(value, bool):
             return "true" if value else "false"
@@ -213,13 +213,13 @@
             *(a for _, bound in sorted(arguments, key=lambda item: item[0]) for a in bound),
         ]
         if not command:
-            raise FlowError(f"{self.where}: the command is empty")
+            raise FlowError(f"{self.where}: an empty command")
         return command
 
     def _evaluate_amount(self, text: float | str, name: str) -> float:
         value = self.evaluate_text(text) if isinstance(text, str) else text
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) or value < 0:
-            raise FlowError(f"{self.where}: {name}: expected a number of at least 0, got {value!r}")
+            raise FlowError(f"{self.where}: {name}: expected an amount, got {value!r}")
         return float(value)
 
     def build(self) -> BuiltTask:
@@ -251,7 +251,7 @@
             value = self.evaluate_text(text)
             for pattern in value if isinstance(value, list) else [value]:
                 if not isinstance(pattern, str):
-                    raise FlowError(f"{self.where}/{output.name}: glob: expected a string, got {pattern!r}")
+                    raise FlowError(f"{self.where}/{output.name}: glob: expected a text, got {pattern!r}")
                 patterns.append(pattern.removeprefix(f"{OUTPUT_DIR}/"))
         return patterns
 
@@ -271,7 +271,7 @@
                 else:
                     value = files if matches_type(files, output.type) else files[0] if len(files) == 1 else None
                     if value is None and files:
-                        raise FlowError(f"{self.where}/{output.name}: {len(files)} files found, expected one")
+                        raise FlowError(f"{self.where}/{output.name}: {len(files)} files, where one is expected")
             if not matches_type(value, output.type):
                 raise FlowError(
                     f"{self.where}/{output.name}: expected {describe_type(output.type)}"
--- a/winglift/flows/driver.py
+++ b/winglift/flows/driver.py
@@ -77,7 +77,7 @@
     def fence_condition(self) -> state_messages.Condition:
         # Every leader write depends on the leadership key's revision: only the leader writes (invariant 1).
         if not self.controller.leadership.has_valid_lease(monotonic_time()):
-            raise RequestRejected("this node does not hold a valid leader lease")
+            raise RequestRejected("this node does not lead now")
         return self.controller.duties.fence.condition()
 
     async def cancel_job(self, ref: str) -> None:
@@ -106,7 +106,7 @@
         try:
             record = records.decode_flow_record(value)
         except records.InvalidRecord as err:
-            log.error("record invalid, ignored: workflow=%s error=%s", ref, err)
+            log.error("%s is left alone: %s", ref, err)
             return
         known = self._flow_records.get(ref)
         if known is not None and known[0] >= version:
@@ -163,7 +163,7 @@
         except asyncio.CancelledError:
             raise
         except Exception:
-            log.exception("%s: run failed, restarting", ref)
+            log.exception("fault in %s", ref)
             await asyncio.sleep(5.0)
         finally:
             self._flow_tasks.pop(ref, None)
--- a/winglift/flows/engine.py
+++ b/winglift/flows/engine.py
@@ -119,7 +119,7 @@
         """Start the main workflow. Raises ContentNeeded, FlowError."""
         main = self.plan.processes[self.plan.main]
         if not isinstance(main, Workflow):
-            raise FlowError("the plan's main process is not a workflow")
+            raise FlowError("the plan's main process is no workflow")
         self._start_workflow(self.plan.main, "", self.order, Hints(), None)
 
     def advance(self, steps_max: int | None = None) -> bool:
@@ -153,7 +153,7 @@
                 leaf.process, process.expression, {"inputs": inputs, "self": None, "runtime": {}}, leaf.path
             )
             if not isinstance(result, dict):
-                raise FlowError(f"{leaf.path}: the expression does not return an object")
+                raise FlowError(f"{leaf.path}: the expression gives no object")
             for output in process.outputs:
                 if not matches_type(result.get(output.name), output.type):
                     raise FlowError(f"{leaf.path}/{output.name}: expected {describe_type(output.type)}")
@@ -293,7 +293,7 @@
                     process_key, step.when, {"inputs": inputs, "self": None, "runtime": {}}, instance.path
                 )
                 if not isinstance(condition, bool):
-                    raise FlowError(f"{instance.path}: when must be true or false")
+                    raise FlowError(f"{instance.path}: when gives neither true nor false")
                 if not condition:
                     continue
             elements_to_run.append((index, inputs))
--- a/winglift/flows/files.py
+++ b/winglift/flows/files.py
@@ -41,11 +41,11 @@
                 # All requests are idempotent, and the server may have closed a pooled connection.
                 reply = await self._http.request(method, path, body, constants.FILES_TIMEOUT_S)
         except Unanswered as err:
-            raise UploadStoreError(f"upload store: {err}") from None
+            raise UploadStoreError(f"store of uploads: {err}") from None
         if reply.status == 404:
-            raise UploadNotFound(f"upload store: not found: {path}")
+            raise UploadNotFound(f"store of uploads: no {path}")
         if reply.status != 200:
-            raise UploadStoreError(f"upload store: status {reply.status} for {path}")
+            raise UploadStoreError(f"store of uploads: {reply.status} for {path}")
         return reply.body
 
     async def put(self, content: bytes) -> str:
@@ -60,7 +60,7 @@
         """Fetch a content and check its digest."""
         content = await self._call("GET", f"/blobs/{digest}")
         if hashlib.sha256(content).hexdigest() != digest:
-            raise UploadStoreError(f"upload store: content does not match digest {digest}")
+            raise UploadStoreError(f"store of uploads: another content under {digest}")
         return content
 
     async def put_task_descriptions(
@@ -78,7 +78,7 @@
             try:
                 page = flow_messages.task_results_decoder.decode(body)
             except msgspec.DecodeError as err:
-                raise UploadStoreError(f"upload store: unreadable results of {job}: {err}") from None
+                raise UploadStoreError(f"store of uploads: results of {job}: {err}") from None
             items += page.items
             if not page.more or not page.items:
                 return items
--- a/winglift/flows/graph.py
+++ b/winglift/flows/graph.py
@@ -54,7 +54,8 @@
         # A short plan can describe a graph beyond all memory: two steps a level, each running the next level.
         if len(enclosing) > constants.FLOW_DEPTH_MAX or len(nodes) + len(process.steps) > constants.FLOW_STEPS_MAX:
             raise FlowError(
-                f"{path}: more than {constants.FLOW_DEPTH_MAX} nested workflows, or {constants.FLOW_STEPS_MAX} steps"
+                f"{path}: more than {constants.FLOW_DEPTH_MAX} workflows inside one another, "
+                f"or {constants.FLOW_STEPS_MAX} steps"
             )
         producers = {p.name: input_producers.get(p.name, set()) for p in process.inputs}
         workflow_hints = process.hints.with_defaults(hints)
--- a/winglift/flows/parts.py
+++ b/winglift/flows/parts.py
@@ -58,7 +58,7 @@
     try:
         priority = Priority(hints.priority or Priority.NORMAL)
     except ValueError:
-        raise FlowError(f"{where}: unknown priority {hints.priority}") from None
+        raise FlowError(f"{where}: no such priority {hints.priority}") from None
     submission = Submission(
         ref=job.ref,
         job_class=hints.job_class or "workflow",
--- a/winglift/flows/run.py
+++ b/winglift/flows/run.py
@@ -46,8 +46,6 @@
 
 
 class FlowRun:
-    """One workflow on the leader."""
-
     def __init__(self, leader: Leader, flow_record: records.FlowRecord, version: int) -> None:
         self.leader = leader
         self.ref = flow_record.sub.ref
@@ -73,7 +71,7 @@
         plan, self.nodes = await asyncio.to_thread(parse_graph, await leader.files.get(sub.plan))
         order = msgspec.json.decode(await leader.files.get(sub.order))
         if not isinstance(order, dict):
-            raise FlowError("the order is not an object")
+            raise FlowError("the order is no object")
         self._division = DeadlineDivision(self.nodes)
         for flow, target in ((self.ref, self.step_records), (sub.reuse, self.reusable_records)):
             if flow is not None:
@@ -104,7 +102,9 @@
                 except ContentNeeded as need:
                     content = await self.leader.files.get(need.digest)
                     if len(content) > constants.LOAD_CONTENTS_MAX_BYTES:
-                        raise FlowError(f"loadContents: more than {constants.LOAD_CONTENTS_MAX_BYTES} bytes") from None
+                        raise FlowError(
+                            f"loadContents: a file of more than {constants.LOAD_CONTENTS_MAX_BYTES} bytes"
+                        ) from None
                     self.engine.contents[need.digest] = content.decode(errors="replace")
         finally:
             self._unsorted_leaves.extend(self.engine.take_ready())
@@ -150,7 +150,7 @@
         try:
             result = await leader.state.commit(state_messages.Transaction(conditions, changes))
         except InvalidRequest as err:  # a retry would be rejected again
-            raise FlowError(f"the state service rejected a write as invalid: {err}") from None
+            raise FlowError(f"the state service does not take it: {err}") from None
         if isinstance(result, state_messages.Committed):
             return result.revision
         if result.failed == [absent]:
@@ -209,7 +209,7 @@
     async def _start_step(self, leaf: Leaf) -> None:
         assert self.engine is not None
         if len(leaf.path.encode()) > constants.FLOW_STEP_PATH_MAX_BYTES:
-            raise FlowError(f"{leaf.path[:60]}…: path exceeds {constants.FLOW_STEP_PATH_MAX_BYTES} bytes")
+            raise FlowError(f"{leaf.path[:60]}…: a path of more than {constants.FLOW_STEP_PATH_MAX_BYTES} bytes")
         process = self.engine.plan.processes[leaf.process]
         if isinstance(process, Expression):
             results = self.engine.evaluate(leaf)
@@ -319,7 +319,7 @@
                 continue
             item = await self.leader.state.get(job_records.JOB_PREFIX + job.ref)
             if item is None:
-                raise FlowError(f"{step.leaf.path}: its job {job.ref} has no record")
+                raise FlowError(f"{step.leaf.path}: its job {job.ref} is not known")
             state = job_records.decode(item.value).state
             if state == JobState.CANCELLED.value:
                 raise StepFailed(f"{step.leaf.path}: its job {job.ref} was cancelled")
--- a/winglift/flows/service.py
+++ b/winglift/flows/service.py
@@ -126,7 +126,7 @@
                 return 201, records.build_reply(record)
             known = await self._read_record(sub.ref)
             if known is None:
-                raise TemporarilyUnavailable("the state service reported a conflict, but has no such record")
+                raise TemporarilyUnavailable("the state service contradicts itself")
         if known[0].sub != sub:
             raise FlowIdConflict(f"ref: {sub.ref} belongs to another workflow")
         return 200, records.build_reply(known[0])
@@ -223,7 +223,7 @@
                 raise TemporarilyUnavailable(str(err)) from None
             if isinstance(result, state_messages.Committed):
                 return records.build_reply(record)
-        raise TemporarilyUnavailable("the workflow's record is changing too often at present")
+        raise TemporarilyUnavailable("the workflow changes too often just now")
 
 
 class FlowHandler(UserHandler):
--- a/winglift/flows/settings.py
+++ b/winglift/flows/settings.py
@@ -36,9 +36,7 @@
     if settings.open_jobs < 1:
         raise SettingsError("workflows: open_jobs: expected at least 1")
     if not 0.001 <= settings.expressions.time_s <= 1.0:
-        raise SettingsError(
-            "workflows: expressions.time_s: expected a number from 0.001 to 1 (the leader waits for it)"
-        )
+        raise SettingsError("workflows: expressions.time_s: expected a number from 0.001 to 1: the leader waits for it")
     if not 1.0 <= settings.expressions.memory_mb <= 256.0:
         raise SettingsError("workflows: expressions.memory_mb: expected a number from 1 to 256")
     return settings
--- a/winglift/flows/values.py
+++ b/winglift/flows/values.py
@@ -94,7 +94,7 @@
     lists = []
     for name in names:
         if not isinstance(inputs.get(name), list):
-            raise FlowError(f"{where}: scatter over {name}, which is not a list")
+            raise FlowError(f"{where}: scatter over {name}, which is no list")
         lists.append(inputs[name])
     if method == "dotproduct" or len(names) == 1:
         if len({len(values) for values in lists}) > 1:
