--- a/standins/worker.py
+++ b/standins/worker.py
@@ -57,7 +57,7 @@
         self.gangs = gangs if gangs is not None else Gangs()
         self.fetch_gb_per_s = math.inf
         self._image_ready_at: dict[str, float] = {}  # image: when it is fetched
-        self.is_suspended: Callable[[], bool] = lambda: False
+        self.is_suspended: Callable[[], bool] = lambda: False  # whether the machine hangs
         self.context = contextvars.copy_context()
 
     def start(self) -> None:
@@ -72,7 +72,7 @@
             log_function=lambda handler: None,
         )
         self._server = current_runtime().serve(app, host, int(number))
-        self._report_task = asyncio.ensure_future(self._run())
+        self._report_task = asyncio.ensure_future(self._report_loop())
 
     def kill(self) -> None:
         self._forget()
@@ -166,7 +166,7 @@
             self.tasks[key].update(status="ended", exitCause=cause)
             self.gangs.leave(self, key)
 
-    async def _run(self) -> None:
+    async def _report_loop(self) -> None:
         clients: dict[str, HttpClient] = {}
         controller_index = 0
         while True:
--- a/standins/world.py
+++ b/standins/world.py
@@ -104,7 +104,7 @@
 
     def listen(self, host: str, port: int, on_stream: runtime.OnStream) -> Callable[[], None]:
         self.net.listeners[f"{host}:{port}"] = (self, on_stream)
-        return lambda: self.net.shut(self)
+        return lambda: self.net.close_host_connections(self)
 
     def run(self, coroutine: Any) -> None:
         """Start a coroutine in this host's context."""
@@ -117,7 +117,7 @@
 
     def crash(self) -> None:
         """End the host's process: none of its callbacks run any more, and its connections are closed."""
-        self.net.shut(self)
+        self.net.close_host_connections(self)
         self.crashed, self.suspended_callbacks = True, []
 
 
@@ -139,13 +139,15 @@
         self.watch: Callable[[Message], str | float | Delayed | None] = lambda message: None
         self.record: Callable[[Sent], None] = lambda sent: None  # called with each message that left its host
 
-    def shut(self, host: Host) -> None:
+    def close_host_connections(self, host: Host) -> None:
+        """Remove the host's listeners and servers, and close its connections."""
         self.listeners = {address: listener for address, listener in self.listeners.items() if listener[0] is not host}
         self.servers = {address: server for address, server in self.servers.items() if server.host is not host}
         for pipe in [p for p in self.pipes if p.host is host]:
             pipe.close()
 
     def mend(self, cut: Cut) -> None:
+        """End a partition, and deliver the messages that it has held."""
         if cut in self.cuts:
             self.cuts.remove(cut)
         for deliver in cut.held:
--- a/tests/test_end_of_day.py
+++ b/tests/test_end_of_day.py
@@ -89,8 +89,8 @@
     name = next(n for n in names if n is not None)
     deafen(scene, name)
     scene.loop.run(scene.loop.now + 35.0)
-    now = {machine_of(scene, f"wk-900/{i}") for i in range(3)}
-    assert None not in now and name not in now and not scene.broken
+    machines_after = {machine_of(scene, f"wk-900/{i}") for i in range(3)}
+    assert None not in machines_after and name not in machines_after and not scene.broken
 
 
 def test_a_cancelled_task_on_a_machine_that_receives_nothing_stops_in_time():
@@ -211,15 +211,15 @@
     scene = begun(run_s=300.0)
     submit_long_jobs(scene)
     scene.loop.run(18.0)
-    inside = {w.entry["ref"]: w.session for w in scene.cloud.workers() if w.entry["hall"] == "b"}
-    assert inside
+    sessions_before = {w.entry["ref"]: w.session for w in scene.cloud.workers() if w.entry["hall"] == "b"}
+    assert sessions_before
     cuts = strand(scene, "node-1", hold, zone=True)
     scene.loop.run(scene.loop.now + 40.0)
     for cut in cuts:
         scene.net.mend(cut)
     scene.loop.run(scene.loop.now + 15.0)
-    now = {w.entry["ref"]: w.session for w in scene.cloud.workers()}
-    lost = [ref for ref, session in inside.items() if now.get(ref) != session]
+    sessions_after = {w.entry["ref"]: w.session for w in scene.cloud.workers()}
+    lost = [ref for ref, session in sessions_before.items() if sessions_after.get(ref) != session]
     assert len(lost) <= 1, lost
     assert not scene.broken
 
@@ -330,23 +330,23 @@
     scene = begun()
     scene.submit("wk-1", pieces=8)
     scene.loop.run(16.0)
-    first = scene.leader()
-    assert first is not None
+    first_leader = scene.leader()
+    assert first_leader is not None
     names = {
-        "leader": [first],
-        "follower": [n for n in scene.nodes if n != first][:1],
+        "leader": [first_leader],
+        "follower": [n for n in scene.nodes if n != first_leader][:1],
         "both": list(scene.nodes)[:2],
-        "again and again": [first] * 4,
+        "again and again": [first_leader] * 4,
     }[who]
     for n, name in enumerate(names):
         at = n * 0.7 if who == "again and again" else 0.0
         scene.later(at, lambda name=name: name in scene.nodes and scene.crash(name))
         scene.later(at + pause, lambda name=name: name not in scene.nodes and scene.start(int(name[-1])))
     scene.submit("wk-2")
-    began = scene.loop.now + (3 * 0.7 if who == "again and again" else 0.0) + pause
-    scene.loop.run(began)
+    restarted_at = scene.loop.now + (3 * 0.7 if who == "again and again" else 0.0) + pause
+    scene.loop.run(restarted_at)
     assert scene.loop.run(lambda: scene.leader() is not None, 10.0)
-    assert scene.loop.now - began < 3.5
+    assert scene.loop.now - restarted_at < 3.5
     assert scene.all_end(["wk-1", "wk-2"], 120.0) and not scene.broken
     terms = [v[0] for k, v in scene.state.keys.items() if k == "term"]
     assert len(terms) == 1
@@ -410,8 +410,8 @@
     cut_reports(scene, name)
     scene.later(4.0, scene.submit, "wk-1")
     scene.loop.run(scene.loop.now + 21.0)  # a lease, a boot, and two reports
-    now = {machine_of(scene, f"wk-900/{i}") for i in range(3)}
-    assert None not in now and name not in now and not scene.broken
+    machines_after = {machine_of(scene, f"wk-900/{i}") for i in range(3)}
+    assert None not in machines_after and name not in machines_after and not scene.broken
     assert {machine_of(scene, f"wk-1/{i}") for i in range(2)}.isdisjoint({None, name})
 
 
