--- a/standins/growth.py
+++ b/standins/growth.py
@@ -66,7 +66,7 @@
             .replace("gpus = 8.0", f"gpus = {6.0 * machines}")
         )
         self.cluster = ClusterState(self.settings, {"g8": TYPE}, 1)
-        self.snapshot_builder = self.fresh_view()
+        self.snapshot_builder = self.new_snapshot_builder()
         self.now, self.jobs, self.seq = NOW, 0, 1
         self.names = [f"vm-{n:06d}" for n in range(machines)]
         for n, name in enumerate(self.names):
@@ -88,7 +88,7 @@
             self.job(Kind.ARRAY, 25, 1.0, 5.0)
         self.cluster.changed = True
 
-    def fresh_view(self) -> SnapshotBuilder:
+    def new_snapshot_builder(self) -> SnapshotBuilder:
         """A snapshot builder without a cache: it computes the next snapshot from scratch."""
         intent_log = SimpleNamespace(rentals={}, deletions={})
         inventory = Inventory(SimpleNamespace(), self.cluster, 3.0, intent_log)  # type: ignore[arg-type]
--- a/standins/history.py
+++ b/standins/history.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Told:
+class UserAnswer:
     """One answer to a user's request about a job."""
 
     ref: str
@@ -28,13 +28,13 @@
     status: str = ""  # of the job
 
 
-def contradictions(history: list[Told]) -> list[str]:
+def contradictions(history: list[UserAnswer]) -> list[str]:
     """Answers that contradict one that a user had received before asking.
 
     Answers to requests that overlap in time may come in either order.
     """
     violations: list[str] = []
-    by_job: dict[str, list[Told]] = defaultdict(list)
+    by_job: dict[str, list[UserAnswer]] = defaultdict(list)
     for answer in history:
         by_job[answer.ref].append(answer)
     for ref, answers in by_job.items():
@@ -69,7 +69,7 @@
     """A job as submitted, and its progress as the machines and the user's answers show it."""
 
     spec: dict[str, Any]
-    confirmed: float | None = None  # when a user was first told that it is cancelled
+    cancel_confirmed_at: float | None = None  # when a user was first told that it is cancelled
     done: set[str] = field(default_factory=set)  # tasks that have completed
     accepted: float | None = None  # when its user was told that it is accepted
     began: float = math.inf  # when its first task started
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True)
-class On:
+class TaskOnMachine:
     """A task that is on a machine."""
 
     task: str
@@ -92,8 +92,13 @@
         return self.task.partition("/")[0]
 
 
-def start_breaks(
-    start: On, others: Iterable[On], jobs: dict[str, Job], gpus_max: float, cancel_s: float, now: float
+def start_violations(
+    start: TaskOnMachine,
+    others: Iterable[TaskOnMachine],
+    jobs: dict[str, Job],
+    gpus_max: float,
+    cancel_s: float,
+    now: float,
 ) -> list[str]:
     """The rules that the start of a task violates, given all other tasks that are on machines at that time."""
     job, running, violations = jobs.get(start.ref), list(others), []
@@ -117,19 +122,19 @@
         violations.append(f"wrong_place: {start_text} in {start.zone}, others in {zones}")
     if spec["apart"] and zones.count(start.zone) + 1 > (spec["pieces"] + 1) // 2:
         violations.append(f"wrong_place: {start_text} in {start.zone}, others in {zones}, not spread over zones")
-    if job.confirmed is not None and now > job.confirmed + cancel_s:
-        violations.append(f"ran_cancelled: {start_text}, cancelled at {job.confirmed:.2f}")
+    if job.cancel_confirmed_at is not None and now > job.cancel_confirmed_at + cancel_s:
+        violations.append(f"ran_cancelled: {start_text}, cancelled at {job.cancel_confirmed_at:.2f}")
     return violations
 
 
-def done_breaks(job: Job) -> list[str]:
+def done_violations(job: Job) -> list[str]:
     """Whether a job that was just reported as done has tasks that have not completed."""
     unfinished = job.names() - job.done
     return [f"not_done: {job.spec['ref']}, not completed: {sorted(unfinished)}"] if unfinished else []
 
 
-def forgotten(
-    history: Iterable[Told],
+def unanswered_jobs(
+    history: Iterable[UserAnswer],
     accepted: Iterable[str],
     troubles_over_at: float,
     end_at: float,
@@ -149,7 +154,9 @@
     return violations
 
 
-def left_waiting(jobs: dict[str, Job], ended: Iterable[str], tasks: Iterable[On], gpus_max: float) -> set[str]:
+def tasks_waiting_below_quota(
+    jobs: dict[str, Job], ended: Iterable[str], tasks: Iterable[TaskOnMachine], gpus_max: float
+) -> set[str]:
     """Tasks that are neither completed nor on a machine now, although their team is below its GPU limit.
 
     The cloud always has a suitable machine, so no task may stay in this set for 90 s.
@@ -167,7 +174,7 @@
         tasks_to_start = len(unplaced) if job.spec["shape"] == "ensemble" else 1
         if (
             ref not in ended_refs
-            and job.confirmed is None
+            and job.cancel_confirmed_at is None
             and unplaced
             and used_gpus + tasks_to_start * job.spec["gpus"] <= gpus_max
         ):
@@ -175,7 +182,7 @@
     return waiting
 
 
-def wrongly_accepted(history: Iterable[Told], invalid_refs: Iterable[str]) -> list[str]:
+def wrongly_accepted(history: Iterable[UserAnswer], invalid_refs: Iterable[str]) -> list[str]:
     """Answers with status 200 or 201 about jobs that cannot run, lack a field or were never submitted."""
     invalid = set(invalid_refs)
     return [
@@ -185,7 +192,9 @@
     ]
 
 
-def served(accepted_jobs: list[tuple[str, str, float, float, float]], max_wait_s: float = 240.0) -> list[str]:
+def underserved_groups(
+    accepted_jobs: list[tuple[str, str, float, float, float]], max_wait_s: float = 240.0
+) -> list[str]:
     """The job classes, teams and groups of large jobs of which less than half were served.
 
     A job of a class or team is served if it began; a large one, if it began within `max_wait_s`. The large jobs of
--- a/standins/loop.py
+++ b/standins/loop.py
@@ -18,7 +18,7 @@
     crashed: bool
     steps_left: int  # number of further callbacks after which the host is suspended; 0: not at all
 
-    def stand_still(self) -> None:
+    def suspend(self) -> None:
         if self.suspended_callbacks is None:
             self.suspended_callbacks = []
 
@@ -28,7 +28,7 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.faults: list[dict[str, Any]] = []  # contexts of exceptions that nothing handled
+        self.unhandled_exceptions: list[dict[str, Any]] = []  # contexts of exceptions that nothing handled
         self.steps = 0
         self._ready: deque[asyncio.Handle] = deque()
         self._timers: list[tuple[float, int, asyncio.TimerHandle]] = []
@@ -70,7 +70,7 @@
         return False
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        self.faults.append(context)
+        self.unhandled_exceptions.append(context)
 
     def _run(self, handle: asyncio.Handle) -> None:
         if handle.cancelled():
@@ -83,16 +83,16 @@
         if isinstance(host, SuspendableHost) and host.steps_left:
             host.steps_left -= 1
             if not host.steps_left:
-                host.stand_still()
+                host.suspend()
         self.steps += 1
         handle._run()
 
-    def run(self, until: Callable[[], bool] | float, most_s: float = 600.0) -> bool:
+    def run(self, until: Callable[[], bool] | float, timeout_s: float = 600.0) -> bool:
         """Run until a condition holds, or up to a time.
 
-        Returns whether the condition came to hold within `most_s` simulated seconds; True for a time.
+        Returns whether the condition came to hold within `timeout_s` simulated seconds; True for a time.
         """
-        limit = until if isinstance(until, float) else self.now + most_s
+        limit = until if isinstance(until, float) else self.now + timeout_s
         asyncio._set_running_loop(self)
         try:
             while True:
--- a/standins/scene.py
+++ b/standins/scene.py
@@ -18,9 +18,9 @@
 
 from . import cloud, state
 from .__main__ import TEMPLATE
-from .history import Job, On, Told, done_breaks, start_breaks
+from .history import Job, TaskOnMachine, UserAnswer, done_violations, start_violations
+from .network import Host, Network
 from .worker import ON_MACHINE, Worker
-from .world import Host, Network
 
 HOUR = 3600.0
 CANCEL_S = 35.0
@@ -45,7 +45,7 @@
 }
 
 
-class Scene:
+class Simulation:
     """A deployment of `count` nodes, alternately in zones a and b.
 
     A run is determined by the seed and by what the test does.
@@ -57,27 +57,27 @@
         seed: int = 0,
         boot_s: float = 20.0,
         run_s: float = 20.0,
-        lag_s: float = 3.0,
+        cloud_list_lag_s: float = 3.0,
         report_s: float = 1.0,
         capacity: int = 100,
         gpus_max: float = 400.0,
         teams: tuple[str, ...] = ("team",),
-        fetches: bool = False,
+        simulates_fetches: bool = False,
     ) -> None:
         self.net = Network(seed)
         self.loop = self.net.loop
         self.addresses = [f"10.0.0.{i + 1}" for i in range(count)]
-        self.broken: list[str] = []  # violations of the rules
+        self.rule_violations: list[str] = []  # violations of the rules
         self.nodes: dict[str, tuple[Host, Node]] = {}
         self.accepted: set[str] = set()
         self.ended: dict[str, str] = {}  # job: the final status that a user was told
         self.jobs: dict[str, Job] = {}  # submitted jobs and their progress
         self.gpus_max = gpus_max
         self._ended_at: dict[str, float] = {}  # job: when a user was first told its final status
-        self.confirmed: dict[str, float] = {}  # job: when a user was first told that it is cancelled
+        self.cancel_confirmed_at: dict[str, float] = {}  # job: when a user was first told that it is cancelled
         # Tasks that started after that. No rule forbids this by itself: a start may already be on its way.
         self.starts_after_cancellation: list[str] = []
-        self.history: list[Told] = []  # every answer that a user got
+        self.history: list[UserAnswer] = []  # every answer that a user got
         self.services = Host(self.net, "services", "")
         self.users = Host(self.net, "users", "")
         self.state, controllers = (
@@ -86,10 +86,10 @@
         )
         self.cloud = cloud.Cloud(controllers, lambda task: HOUR if task.startswith("wk-90") else run_s)
         self.cloud.type.update(bootS=boot_s, halls=["a", "b"])
-        self.cloud.capacity, self.cloud.list_lag_s = capacity, lag_s
+        self.cloud.capacity, self.cloud.list_lag_s = capacity, cloud_list_lag_s
         self.cloud.report_s, self.cloud.lease_s = report_s, 10.0
         self.cloud.start_on_host = self._start_worker
-        if fetches:  # fetching an image takes time, and the tasks of a gang wait for one another
+        if simulates_fetches:  # fetching an image takes time, and the tasks of a gang wait for one another
             self.cloud.type["pullGbPerS"] = 1.0
             self.cloud.describe_job = lambda ref: self.jobs[ref].spec if ref in self.jobs else None
         self._deletion_intended_at: dict[str, float] = {}  # machine: when its deletion was first recorded
@@ -103,7 +103,7 @@
             TEMPLATE.replace("report_s = 0.2", f"report_s = {report_s}")
             .replace("lease_s = 3.0", "lease_s = 10.0")
             .replace("cancel_s = 10.0", f"cancel_s = {CANCEL_S}")
-            .replace("list_lag_s = 0.1", f"list_lag_s = {lag_s}")
+            .replace("list_lag_s = 0.1", f"list_lag_s = {cloud_list_lag_s}")
             .replace("nodes = 1", f"nodes = {count}")
             .replace("gpus = 8.0", "gpus = 40.0")
             .replace("gpus_max = 16.0", f"gpus_max = {gpus_max}")
@@ -155,7 +155,7 @@
 
         In the context of the calling host, the callback would be lost if that host crashed.
         """
-        self.loop.call_later(seconds, callback, *args, context=self.net.own)
+        self.loop.call_later(seconds, callback, *args, context=self.net.network_context)
 
     def crash(self, name: str) -> None:
         self.nodes.pop(name)[0].crash()
@@ -201,7 +201,7 @@
             if reply is not None and reply.status in (200, 201):
                 return {**json.loads(reply.body), "asked": asked}
             if reply is not None and reply.status in (400, 404, 422):
-                self.broken.append(f"forgotten: {method} {path} got {reply.status} {reply.body[:80]!r}")
+                self.rule_violations.append(f"forgotten: {method} {path} got {reply.status} {reply.body[:80]!r}")
             await asyncio.sleep(1.0)
         return None
 
@@ -215,18 +215,18 @@
             reply = await self.users.client(address, 8080).request(method, path, data, 5.0)
         except Unanswered:
             # Recorded as well: a cancellation whose answer was lost may still have been carried out.
-            self.history.append(Told(ref, request_type, address, asked_at, self.loop.now, 0))
+            self.history.append(UserAnswer(ref, request_type, address, asked_at, self.loop.now, 0))
             return None
         status = json.loads(reply.body)["status"] if reply.status in (200, 201) else ""
-        self.history.append(Told(ref, request_type, address, asked_at, self.loop.now, reply.status, status))
-        if status == "aborted" and ref not in self.confirmed:
-            self.confirmed[ref] = self.loop.now
+        self.history.append(UserAnswer(ref, request_type, address, asked_at, self.loop.now, reply.status, status))
+        if status == "aborted" and ref not in self.cancel_confirmed_at:
+            self.cancel_confirmed_at[ref] = self.loop.now
             if ref in self.jobs:
-                self.jobs[ref].confirmed = self.loop.now
+                self.jobs[ref].cancel_confirmed_at = self.loop.now
             self.later(CANCEL_S + 0.001, self._check_tasks_stopped, ref)
         return reply
 
-    def copy(self, number: int, method: str, path: str, body: dict[str, Any] | None = None) -> None:
+    def send_once(self, number: int, method: str, path: str, body: dict[str, Any] | None = None) -> None:
         """Send a copy of a user's request to this node, without a retry; its answer goes into the history."""
         self.users.run(self._ask_once(self.addresses[number], method, path, body))
 
@@ -259,18 +259,18 @@
                 and answer["status"] != earlier_status
                 and answer["asked"] > self._ended_at[ref]
             ):
-                self.broken.append(f"went_back: {ref} was {earlier_status}, now {answer['status']}")
+                self.rule_violations.append(f"went_back: {ref} was {earlier_status}, now {answer['status']}")
             if answer["status"] in ("done", "aborted"):
                 if answer["status"] == "done" and ref not in self.ended:
-                    self.broken += done_breaks(self.jobs[ref])
+                    self.rule_violations += done_violations(self.jobs[ref])
                 self.ended[ref] = answer["status"]
                 self._ended_at.setdefault(ref, self.loop.now)
 
         self.users.run(ask())
 
-    def all_end(self, refs: list[str], most_s: float = 300.0) -> bool:
+    def run_until_ended(self, refs: list[str], timeout_s: float = 300.0) -> bool:
         """Poll until users have been told a final status of each job; return whether that happened in time."""
-        deadline = self.loop.now + most_s
+        deadline = self.loop.now + timeout_s
         while self.loop.now < deadline and not all(r in self.ended for r in refs):
             for ref in refs:
                 if ref in self.accepted and ref not in self.ended:
@@ -280,13 +280,13 @@
 
     # -- checks of the rules -------------------------------------------------------------------
 
-    def on(self, unreported: bool = False) -> list[On]:
+    def tasks_on_machines(self, unreported: bool = False) -> list[TaskOnMachine]:
         """All tasks on machines, as the workers see them.
 
         With `unreported`, includes tasks whose time is over, but whose worker has not reported their end yet.
         """
         return [
-            On(name, w.entry["ref"], w.entry["hall"], w.entry["loaner"])
+            TaskOnMachine(name, w.entry["ref"], w.entry["hall"], w.entry["loaner"])
             for w in self.cloud.workers()
             for (name, _), task in w.tasks.items()
             if task["status"] in ON_MACHINE
@@ -295,11 +295,13 @@
 
     def on_machines(self, ref: str) -> list[tuple[str, str]]:
         """The tasks of a job that are on machines, as (task, machine)."""
-        return [(o.task, o.machine) for o in self.on() if o.ref == ref]
+        return [(o.task, o.machine) for o in self.tasks_on_machines() if o.ref == ref]
 
     def _check_tasks_stopped(self, ref: str) -> None:
         for name, machine in self.on_machines(ref):
-            self.broken.append(f"ran_cancelled: {name} on {machine}, cancelled at {self.confirmed[ref]:.2f}")
+            self.rule_violations.append(
+                f"ran_cancelled: {name} on {machine}, cancelled at {self.cancel_confirmed_at[ref]:.2f}"
+            )
 
     def _changed(self, worker: Worker, event: str, task_name: str) -> None:
         if event == "starts":
@@ -311,10 +313,10 @@
     def _started(self, worker: Worker, task_name: str) -> None:
         now = self.loop.now
         entry = worker.entry
-        start = On(task_name, entry["ref"], entry["hall"], entry["loaner"])
-        self.broken += start_breaks(
+        start = TaskOnMachine(task_name, entry["ref"], entry["hall"], entry["loaner"])
+        self.rule_violations += start_violations(
             start,
-            [o for o in self.on() if (o.task, o.machine) != (task_name, entry["ref"])],
+            [o for o in self.tasks_on_machines() if (o.task, o.machine) != (task_name, entry["ref"])],
             self.jobs,
             self.gpus_max,
             CANCEL_S,
@@ -322,12 +324,12 @@
         )
         if (job := self.jobs.get(start.ref)) is not None:
             job.began = min(job.began, now)
-        confirmed = self.confirmed.get(start.ref)
-        if confirmed is not None:
-            self.starts_after_cancellation.append(f"{task_name} at {now:.2f}, cancelled at {confirmed:.2f}")
+        cancel_confirmed_at = self.cancel_confirmed_at.get(start.ref)
+        if cancel_confirmed_at is not None:
+            self.starts_after_cancellation.append(f"{task_name} at {now:.2f}, cancelled at {cancel_confirmed_at:.2f}")
         if self._deletion_intended_at.get(worker.entry["ref"], now) < now - 5.0:
             # A worker still executes a start from the answer to a report up to 4 s after it sent the report.
-            self.broken.append(
+            self.rule_violations.append(
                 f"placed after its deletion was intended: {task_name} on {worker.entry['ref']} at {now:.2f}"
             )
 
@@ -340,7 +342,9 @@
             if before is not None and str(change.get("write") or change["drop"]).startswith("job/"):
                 old_outcome, new_outcome = before[0].get("o", "o"), change.get("v", {}).get("o", "o")
                 if old_outcome != "o" and new_outcome != old_outcome:
-                    self.broken.append(f"final outcome replaced: {change} over {old_outcome} at {self.loop.now:.2f}")
+                    self.rule_violations.append(
+                        f"final outcome replaced: {change} over {old_outcome} at {self.loop.now:.2f}"
+                    )
         return self._state_apply(changes)
 
     def _checked_delete(self, names: list[str]) -> None:
@@ -348,7 +352,7 @@
             if name in self.cloud.machines and name not in self._deletion_intended_at:
                 cancelled = [k for k, v in self.state.keys.items() if k.startswith("job/") and v[0].get("o") == "c"]
                 if not cancelled:
-                    self.broken.append(f"deleted without a recorded intent: {name}")
+                    self.rule_violations.append(f"deleted without a recorded intent: {name}")
             if name in self._hosts:
                 self._hosts.pop(name).crash()
         self._cloud_delete(names)
--- a/standins/trial.py
+++ b/standins/trial.py
@@ -27,7 +27,7 @@
     return sock
 
 
-class Stage:
+class LocalServices:
     """Serves the stand-ins in the running event loop, for `count` controllers.
 
     `run_s` returns how long a task runs. If `tasks` is given, tasks with a description run as processes in folders
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -48,7 +48,7 @@
         self.processes = processes
         self._process_tasks: dict[tuple[str, int], asyncio.Task[None]] = {}
         self.mute = False  # sends no reports, as on a machine that hangs
-        self.recalled_at = math.inf  # when the cloud reclaims this spot machine, once it has given notice
+        self.reclaim_at = math.inf  # when the cloud reclaims this spot machine, once it has given notice
         self._report_task: asyncio.Task | None = None
         self._server: Server | None = None
         self.on_task_change: Callable[[Worker, str, str], None] = lambda worker, what, task: None
@@ -114,7 +114,7 @@
             "shift": self.session,
             "tick": self.seq,
             "baton": self.token,
-            "recallS": max(0.0, self.recalled_at - now) if self.recalled_at < math.inf else None,
+            "recallS": max(0.0, self.reclaim_at - now) if self.reclaim_at < math.inf else None,
             "pieces": task_reports,
         }
 
--- a/standins/world.py
+++ b/standins/world.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True)
-class Sent:
+class SentMessage:
     """A message that has left its host.
 
     `head` is the request line, or the status and headers of an answer; for other messages it is `Message.what`.
@@ -59,7 +59,7 @@
 
 @dataclass(eq=False)
 class Cut:
-    """A network partition in one direction: nothing from `source` reaches `target` until `Network.mend`.
+    """A network partition in one direction: nothing from `source` reaches `target` until `Network.heal`.
 
     "" stands for any host, and a name with a leading "@" for all hosts of that zone.
     """
@@ -110,7 +110,7 @@
         """Start a coroutine in this host's context."""
         self.context.run(self.net.loop.create_task, coroutine)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         if self.suspended_callbacks is not None and not self.crashed:
             self.net.loop._ready.extend(self.suspended_callbacks)
             self.suspended_callbacks = None
@@ -124,20 +124,22 @@
 class Network:
     def __init__(self, seed: int = 0) -> None:
         self.loop = Loop()
-        self.own = contextvars.Context()  # belongs to no host: messages are transmitted also while hosts are suspended
+        self.network_context = (
+            contextvars.Context()
+        )  # belongs to no host: messages are transmitted also while hosts are suspended
         self.seed = seed
         self.rng = random.Random(f"{seed}/network")
         self.listeners: dict[str, tuple[Host, Any]] = {}
         self.servers: dict[str, _Server] = {}
         self.pipes: list[_Pipe] = []
         self.cuts: list[Cut] = []
-        self.kept: list[Callable[[], None]] = []  # messages that `watch` has held; calling an item delivers it
+        self.held_messages: list[Callable[[], None]] = []  # messages that `watch` has held; calling an item delivers it
         self.loss = 0.002  # share of the messages that are lost once and sent again after 0.2 s
         self.log: list[str] = []
         self.number = 0
         # The verdict on a message: "hold", "drop", None (deliver), `Delayed`, or the delay in s of a second copy.
         self.watch: Callable[[Message], str | float | Delayed | None] = lambda message: None
-        self.record: Callable[[Sent], None] = lambda sent: None  # called with each message that left its host
+        self.record: Callable[[SentMessage], None] = lambda sent: None  # called with each message that left its host
 
     def close_host_connections(self, host: Host) -> None:
         """Remove the host's listeners and servers, and close its connections."""
@@ -146,12 +148,12 @@
         for pipe in [p for p in self.pipes if p.host is host]:
             pipe.close()
 
-    def mend(self, cut: Cut) -> None:
+    def heal(self, cut: Cut) -> None:
         """End a partition, and deliver the messages that it has held."""
         if cut in self.cuts:
             self.cuts.remove(cut)
         for deliver in cut.held:
-            self.loop.call_later(0.01, deliver, context=self.own)
+            self.loop.call_later(0.01, deliver, context=self.network_context)
         cut.held.clear()
 
     def _cut(self, source: Host, target: Host) -> Cut | None:
@@ -181,7 +183,7 @@
         verdict = self.watch(message)
         if source.crashed:  # `watch` may have crashed the host: then the message was never sent
             return math.inf
-        self.record(Sent(self.loop.now, source.name, target.name, what if head is None else head, body))
+        self.record(SentMessage(self.loop.now, source.name, target.name, what if head is None else head, body))
         cut = self._cut(source, target)
 
         def arrive() -> None:
@@ -189,7 +191,7 @@
                 self.loop.call_soon(deliver, context=target.context)
 
         if verdict == "hold":
-            self.kept.append(arrive)
+            self.held_messages.append(arrive)
         elif cut is not None and cut.hold:
             cut.held.append(arrive)
         elif cut is None and verdict != "drop":
@@ -197,9 +199,9 @@
             if isinstance(verdict, Delayed):
                 delay += verdict.seconds
             elif verdict is not None:
-                self.loop.call_later(float(verdict), arrive, context=self.own)
+                self.loop.call_later(float(verdict), arrive, context=self.network_context)
             when = max(self.loop.now + delay, earliest)
-            self.loop.call_at(when, arrive, context=self.own)
+            self.loop.call_at(when, arrive, context=self.network_context)
             return when
         return math.inf
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -7,9 +7,9 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from standins.simulation import Simulation
 
 from standins.growth import Fleet, cost, exponent, main, measure
-from standins.scene import Scene
 from winglift import constants
 from winglift.controller.pacing import long_pause_s, pause_s
 from winglift.model.machine_state import MachineState
@@ -71,7 +71,7 @@
             returned.state, returned.last_heard = MachineState.UP, fleet.now
         elif operation == "wait":
             fleet.job(Kind.GANG if number % 2 else Kind.ARRAY, number % 5 + 1, 4.0, 20.0)
-        uncached_builder = fleet.fresh_view()
+        uncached_builder = fleet.new_snapshot_builder()
         uncached_builder.gang_reservations.by_job = dict(fleet.snapshot_builder.gang_reservations.by_job)
         cached = fleet.snapshot_builder.build(fleet.now, zones_with_controllers=zones)
         rebuilt = uncached_builder.build(fleet.now, zones_with_controllers=zones)
@@ -144,21 +144,25 @@
 def test_urgent_work_ends_the_pause_between_cycles_and_is_planned(monkeypatch):
     """Cycles take no simulated time, so that no pause would follow: here each is followed by one of 30 s."""
     monkeypatch.setattr("winglift.controller.leader_term.long_pause_s", lambda took: 30.0)
-    scene = Scene(1, boot_s=2.0, run_s=5.0, lag_s=1.0)
-    scene.net.loss = 0.0
-    scene.start_all()
-    scene.loop.run(20.0)
-    leader = scene.nodes["node-0"][1].leader_term
+    simulation = Simulation(1, boot_s=2.0, run_s=5.0, cloud_list_lag_s=1.0)
+    simulation.net.loss = 0.0
+    simulation.start_all()
+    simulation.loop.run(20.0)
+    leader = simulation.nodes["node-0"][1].leader_term
     assert leader is not None
-    began = scene.loop.now
-    scene.submit("wk-1", dueS=500.0)
-    scene.loop.run(began + 3.0)
-    assert not leader.cluster.jobs["wk-1"].active and not leader.inventory.pending_rentals and not scene.cloud.machines
-    scene.submit("wk-2", pieces=1)
-    scene.loop.run(lambda: bool(scene.cloud.machines), 3.0)
-    assert scene.loop.now < began + 4.5
+    began = simulation.loop.now
+    simulation.submit("wk-1", dueS=500.0)
+    simulation.loop.run(began + 3.0)
+    assert (
+        not leader.cluster.jobs["wk-1"].active
+        and not leader.inventory.pending_rentals
+        and not simulation.cloud.machines
+    )
+    simulation.submit("wk-2", pieces=1)
+    simulation.loop.run(lambda: bool(simulation.cloud.machines), 3.0)
+    assert simulation.loop.now < began + 4.5
     # The end of a job is recorded as soon as it is reported, without waiting for a cycle.
-    scene.loop.run(lambda: any(w.starts for w in scene.cloud.workers()), 120.0)
-    ends = scene.loop.now + 5.0
-    scene.loop.run(lambda: scene.state.keys["job/wk-2"][0].get("o") == "d", 120.0)
-    assert scene.loop.now < ends + 2.0
+    simulation.loop.run(lambda: any(w.starts for w in simulation.cloud.workers()), 120.0)
+    ends = simulation.loop.now + 5.0
+    simulation.loop.run(lambda: simulation.state.keys["job/wk-2"][0].get("o") == "d", 120.0)
+    assert simulation.loop.now < ends + 2.0
