--- a/standins/scene.py
+++ b/standins/simulation.py
@@ -205,6 +205,13 @@
             await asyncio.sleep(1.0)
         return None
 
+    def is_wrongly_refused(self, method: str, path: str, status: int, asked: float) -> bool:
+        """Whether a response refuses a valid job. A 404 is right for one that was not accepted before the request."""
+        if status != 404 or (method, path) == ("POST", "/work"):
+            return status in (400, 404, 422)
+        ref = path.split("/")[2]
+        return any(a.ref == ref and a.code in (200, 201) and a.told <= asked for a in self.history)
+
     async def _ask_once(self, address: str, method: str, path: str, body: dict[str, Any] | None) -> Reply | None:
         """Send a request to one node, without a retry, and add the answer to the history."""
         asked_at = self.loop.now
