--- a/tests/test_end_of_day.py
+++ b/tests/test_end_of_day.py
@@ -7,9 +7,9 @@
 import logging
 
 import pytest
+
 from standins.network import Cut, Message
 from standins.simulation import Simulation
-
 from standins.worker import Worker
 from winglift.model.machine_state import MachineState
 
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -8,9 +8,9 @@
 from __future__ import annotations
 
 import pytest
+
 from standins.network import Cut, Message
 from standins.simulation import CANCEL_S, Simulation
-
 from standins.worker import Worker
 from winglift.wire import peer as peer_messages
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -7,9 +7,9 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from standins.simulation import Simulation
 
 from standins.growth import Fleet, cost, exponent, main, measure
+from standins.simulation import Simulation
 from winglift import constants
 from winglift.controller.pacing import long_pause_s, pause_s
 from winglift.model.machine_state import MachineState
