--- a/standins/simulation.py
+++ b/standins/simulation.py
@@ -200,7 +200,7 @@
             reply = await self._ask_once(self.addresses[self._request_count % len(self.addresses)], method, path, body)
             if reply is not None and reply.status in (200, 201):
                 return {**json.loads(reply.body), "asked": asked}
-            if reply is not None and reply.status in (400, 404, 422):
+            if reply is not None and self.is_wrongly_refused(method, path, reply.status, asked):
                 self.rule_violations.append(f"forgotten: {method} {path} got {reply.status} {reply.body[:80]!r}")
             await asyncio.sleep(1.0)
         return None
@@ -210,7 +210,7 @@
         if status != 404 or (method, path) == ("POST", "/work"):
             return status in (400, 404, 422)
         ref = path.split("/")[2]
-        return any(a.ref == ref and a.code in (200, 201) and a.told <= asked for a in self.history)
+        return any(a.ref == ref and a.code in (200, 201) and a.answered_at <= asked for a in self.history)
 
     async def _ask_once(self, address: str, method: str, path: str, body: dict[str, Any] | None) -> Reply | None:
         """Send a request to one node, without a retry, and add the answer to the history."""
--- a/winglift/policy/failure_detector.py
+++ b/winglift/policy/failure_detector.py
@@ -35,7 +35,7 @@
     to_probe: list[Machine] = field(default_factory=list)
     # Unresponsive machines to send commands to again: an asymmetric partition probably lost this node's messages.
     to_retry: list[Machine] = field(default_factory=list)
-    # In each zone, the machine heard last: it answers a probe if the network from this node to the zone works.
+    # In each zone, the machine with the latest report: it answers a probe if the network from here to the zone works.
     control_machines: dict[str, Machine] = field(default_factory=dict)
 
 
--- a/winglift/policy/zone_reachability.py
+++ b/winglift/policy/zone_reachability.py
@@ -27,7 +27,7 @@
 class SilenceCounts:
     """The number of booted machines in each zone, and how many of those miss reports."""
 
-    last_contact: float = 0.0  # when the machine heard last was heard
+    last_contact: float = 0.0  # when the zone's machine with the latest report sent it
     booted: CountPerZone = field(default_factory=dict)
     quiet: CountPerZone = field(default_factory=dict)  # silent for `ZONE_LATE_REPORT_RATIO` report intervals
     silent: CountPerZone = field(default_factory=dict)  # silent for `ZONE_SILENT_REPORT_RATIO` report intervals
