--- a/tests/test_further_meetings.py
+++ b/tests/test_further_meetings.py
@@ -79,7 +79,7 @@
 
     monkeypatch.setattr(ReadCache, "get", get_without_refresh)
     assert any(
-        "over since" in violation for violation in FaultRun((close_looks,), 1, multi_team=True).find_violations()
+        "ended at" in violation for violation in FaultRun((close_looks,), 1, multi_team=True).find_violations()
     )
 
 
