--- a/tests/test_further_meetings.py
+++ b/tests/test_further_meetings.py
@@ -78,9 +78,7 @@
     from winglift.model.records import decode as _decode
 
     monkeypatch.setattr(ReadCache, "get", get_without_refresh)
-    assert any(
-        "ended at" in violation for violation in FaultRun((close_looks,), 1, multi_team=True).find_violations()
-    )
+    assert any("ended at" in violation for violation in FaultRun((close_looks,), 1, multi_team=True).find_violations())
 
 
 # -- a transaction is carried out, but its answer is lost --------------------------------------
