--- a/winglift/flows/sweep.py
+++ b/winglift/flows/sweep.py
@@ -1,4 +1,4 @@
-"""Step records of workflows that ended long ago: what they were kept for, `--reuse` and looks at steps, is over."""
+"""Deletes the step records of workflows that ended long ago; `--reuse` and the display of steps needed them."""
 
 from __future__ import annotations
 
@@ -11,41 +11,42 @@
 from . import records
 
 
-class OldSteps:
-    """Heads stay, with state and outputs; `swept` says that a workflow's steps are gone."""
+class StepRecordSweeper:
+    """Finds old step records. The workflow's record stays, with state and outputs, and is marked `steps_removed`."""
 
     def __init__(self, state: StateClient) -> None:
         self.state = state
-        self._next = 0.0
+        self._next_pass = 0.0
 
     async def find(self, max_changes: int) -> list[Removal]:
-        if monotonic_time() < self._next:
+        """Removals of old step records, each of at most `max_changes` keys; empty between two passes."""
+        if monotonic_time() < self._next_pass:
             return []
-        found: list[Removal] = []
+        removals: list[Removal] = []
         now = wall_time()
-        heads, _ = await self.state.list(records.HEAD)
-        for item in heads:
+        items, _ = await self.state.list(records.FLOW_PREFIX)
+        for item in items:
             try:
-                head = records.decode_head(item.value)
+                record = records.decode_flow_record(item.value)
             except records.InvalidRecord:
-                continue  # not written by this program: left alone
-            over = head.state is FlowState.DONE or head.tidy
-            if not over or head.swept or now - head.submitted < constants.GC_FLOW_STEP_RETENTION_S:
+                continue  # not written by this program: not changed
+            ended = record.state is FlowState.DONE or record.jobs_cancelled
+            if not ended or record.steps_removed or now - record.submitted < constants.GC_FLOW_STEP_RETENTION_S:
                 continue
-            found += await self._steps(item, head, max_changes, now)
-            if len(found) >= constants.GC_REMOVALS_MAX:
-                return found  # the rest at the next look
-        self._next = monotonic_time() + constants.GC_FLOWS_INTERVAL_S
-        return found
+            removals += await self._step_removals(item, record, max_changes, now)
+            if len(removals) >= constants.GC_REMOVALS_MAX:
+                return removals  # the rest follows in the next pass
+        self._next_pass = monotonic_time() + constants.GC_FLOWS_INTERVAL_S
+        return removals
 
-    async def _steps(
-        self, item: state_messages.Item, head: records.Head, max_changes: int, now: float
+    async def _step_removals(
+        self, item: state_messages.Item, record: records.FlowRecord, max_changes: int, now: float
     ) -> list[Removal]:
-        ref = head.sub.ref
+        ref = record.sub.ref
         steps, _ = await self.state.list(records.step_prefix(ref))
         for step in steps:
             try:
-                if now - records.decode_step(step.value).ended < constants.GC_FLOW_STEP_RETENTION_S:
+                if now - records.decode_step_record(step.value).ended < constants.GC_FLOW_STEP_RETENTION_S:
                     return []
             except records.InvalidRecord:
                 return []
@@ -54,5 +55,5 @@
             return [
                 Removal(f"steps of {ref}", tuple(keys[i : i + max_changes])) for i in range(0, len(keys), max_changes)
             ]
-        head.swept = True
-        return [Removal(f"steps of {ref}", (), ((state_messages.Put(item.key, head), item.version),))]
+        record.steps_removed = True
+        return [Removal(f"steps of {ref}", (), ((state_messages.Put(item.key, record), item.version),))]
