--- a/standins/flow_leader.py
+++ b/standins/flow_leader.py
@@ -52,7 +52,7 @@
 class Uploads:
     def __init__(self) -> None:
         self.blobs: dict[str, bytes] = {}
-        self.tasks: dict[str, dict[int, list[flow_messages.Work]]] = {}
+        self.tasks: dict[str, dict[int, list[flow_messages.TaskDescription]]] = {}
 
     async def put(self, content: bytes) -> str:
         digest = hashlib.sha256(content).hexdigest()
@@ -62,18 +62,18 @@
     async def get(self, digest: str) -> bytes:
         return self.blobs[digest]
 
-    async def describe(self, job: str, page: int, works: list[flow_messages.Work]) -> None:
+    async def describe(self, job: str, page: int, works: list[flow_messages.TaskDescription]) -> None:
         self.tasks.setdefault(job, {}).setdefault(page, works)
 
-    async def found(self, job: str, failed: bool = False) -> list[flow_messages.FoundItem]:
-        def text(work: flow_messages.Work) -> str:
+    async def found(self, job: str, failed: bool = False) -> list[flow_messages.TaskResultItem]:
+        def text(work: flow_messages.TaskDescription) -> str:
             return "(" + "+".join(work.command[1:]) + ")"
 
         works = chain(*self.tasks[job].values())
         return [
-            flow_messages.FoundItem(
+            flow_messages.TaskResultItem(
                 n,
-                flow_messages.Found(
+                flow_messages.TaskResult(
                     "vm-1", 1, 0, True, {"out": [{"class": "File", "basename": "out.txt", "contents": text(w)}]}
                 ),
             )
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -13,7 +13,7 @@
 from tornado.testing import bind_unused_port
 
 from winglift.net.client import Unanswered
-from winglift.net.runtime import Requests, Server, current_runtime, monotonic_time
+from winglift.net.runtime import HttpClient, Server, current_runtime, monotonic_time
 
 from .gangs import Gangs
 from .processes import Processes
@@ -163,7 +163,7 @@
             self.gangs.leave(self, key)
 
     async def _run(self) -> None:
-        clients: dict[str, Requests] = {}
+        clients: dict[str, HttpClient] = {}
         at = 0
         while True:
             now = monotonic_time()
--- a/standins/world.py
+++ b/standins/world.py
@@ -90,7 +90,7 @@
         self._drawn += 1
         return random.Random(f"{self.net.seed}/{self.name}/{self._drawn}")
 
-    def client(self, host: str, port: int, most: int | None = None) -> _Client:
+    def client(self, host: str, port: int, max_idle: int | None = None) -> _Client:
         return _Client(self, f"{host}:{port}")
 
     def serve(self, delegate: httputil.HTTPServerConnectionDelegate, host: str, port: int, **limits: Any) -> _Server:
@@ -277,7 +277,7 @@
     """An HTTP server in the simulated network; requests come without connections of their own."""
 
     def __init__(self, host: Host, address: str, delegate: httputil.HTTPServerConnectionDelegate) -> None:
-        self.host, self.delegate, self.open = host, delegate, 0
+        self.host, self.delegate, self.open_connections = host, delegate, 0
         host.net.servers[address] = self
 
     def stop(self) -> None:
--- a/winglift/api/jobs.py
+++ b/winglift/api/jobs.py
@@ -89,7 +89,7 @@
         self._on_change = on_change
         self._on_seen = on_seen  # called with each record that is reported to a user, whichever node committed it
         self._final_states: OrderedDict[str, StatusReply] = OrderedDict()
-        reads_per_s = settings.settings.state.rps * state.follower_share() * constants.REFRESH_SHARE
+        reads_per_s = settings.settings.state.rps * state.follower_share() * constants.REFRESH_REQUEST_SHARE
         self._read_cache: ReadCache[StatusReply] = ReadCache(
             state, lambda ref, record: status_of(record, ref), 1 / reads_per_s, on_seen
         )
@@ -98,13 +98,13 @@
         """Cache the reply of a finished job: it never changes, so later requests need no read."""
         if reply.status in (JobStatus.DONE, JobStatus.CANCELLED):
             self._final_states[ref] = reply
-            while len(self._final_states) > constants.FINAL_STATES_CACHED:
+            while len(self._final_states) > constants.FINAL_STATE_CACHE_MAX:
                 self._final_states.popitem(last=False)
 
     def _unavailable(self, reason: str) -> TemporarilyUnavailable:
         """The error for a request that the state service did not answer."""
         down = self.state.health() is Health.DOWN
-        return TemporarilyUnavailable(reason, constants.RETRY_AFTER_DOWN_S if down else constants.RETRY_AFTER_S)
+        return TemporarilyUnavailable(reason, constants.RETRY_AFTER_STATE_DOWN_S if down else constants.RETRY_AFTER_S)
 
     async def _read(self, ref: str) -> tuple[records.JobRecord, int] | None:
         try:
@@ -142,7 +142,7 @@
         if known is not None:
             return 200, known
         record = records.new_record(spec, wall_time())
-        if len(encode(record)) > self.settings.settings.state.value_kb * 1024 * constants.NEW_RECORD_SHARE:
+        if len(encode(record)) > self.settings.settings.state.value_kb * 1024 * constants.NEW_RECORD_SIZE_SHARE:
             raise Unschedulable("the description is too long to be kept")
         return await self._commit_new(spec.ref, record)
 
@@ -191,7 +191,7 @@
         # Announced only now, after the commit (invariant 4).
         self._read_cache.add_record(ref, result.revision, record)
         self._on_change(ref, result.revision, record)
-        if monotonic_time() - sent > constants.SUBMIT_TIMEOUT_S + constants.REFRESH_VALID_S:
+        if monotonic_time() - sent > constants.SUBMIT_TIMEOUT_S + constants.REFRESH_MAX_AGE_S:
             # Another node may have answered a copy of the request, and the job may be finished: the user asks again.
             raise TemporarilyUnavailable("this node stood still")
         return 201, StatusReply(ref, JobStatus.QUEUED)
@@ -204,7 +204,7 @@
         final = self._final_states.get(ref)
         if final is not None:
             return final
-        for _ in range(constants.CANCEL_TRIES):
+        for _ in range(constants.CANCELLATION_ATTEMPTS_MAX):
             found = await self._read(ref)
             if found is None:
                 return None
--- a/winglift/cli/client.py
+++ b/winglift/cli/client.py
@@ -10,7 +10,7 @@
 
 from .. import constants
 from ..config.settings import SettingsError, parse_addr
-from ..net.client import Client, NotSent, Reply, Unanswered
+from ..net.client import NotSent, PoolingHttpClient, Reply, Unanswered
 from ..wire import flows as flow_messages
 
 
@@ -21,12 +21,12 @@
 class Server:
     """Several addresses, asked in turn: any node answers."""
 
-    def __init__(self, addresses: str, patience_s: float = constants.CLIENT_RETRY_S) -> None:
+    def __init__(self, addresses: str, patience_s: float = constants.CLIENT_RETRY_TIMEOUT_S) -> None:
         try:
             found = [parse_addr(a.strip(), "--server") for a in addresses.split(",")]
         except SettingsError as err:
             raise ServerError(str(err)) from None
-        self._nodes = [Client(host, port) for host, port in found]
+        self._nodes = [PoolingHttpClient(host, port) for host, port in found]
         self._at = 0
         self._patience_s = patience_s
 
@@ -35,7 +35,7 @@
         end = time.monotonic() + self._patience_s
         while True:
             node = self._nodes[self._at % len(self._nodes)]
-            pause = constants.CLIENT_AGAIN_S
+            pause = constants.CLIENT_RETRY_DELAY_S
             try:
                 reply = await node.request(method, path, body, constants.CLIENT_TIMEOUT_S)
                 if reply.status not in (429, 503, 504):
@@ -52,7 +52,7 @@
             await asyncio.sleep(pause)
 
     async def reply(self, method: str, path: str, body: bytes | None = None) -> flow_messages.FlowReply:
-        return _decode(flow_messages.replies, await self.good(method, path, body))
+        return _decode(flow_messages.reply_decoder, await self.good(method, path, body))
 
     async def good(self, method: str, path: str, body: bytes | None = None) -> Reply:
         reply = await self.ask(method, path, body)
@@ -73,14 +73,14 @@
         found: list[flow_messages.FlowReply] = []
         while True:
             after = found[-1].ref if found else ""
-            page = _decode(flow_messages.lists, await self.good("GET", f"/flows?after={after}"))
+            page = _decode(flow_messages.list_decoder, await self.good("GET", f"/flows?after={after}"))
             found += page.flows
             if not page.more or not page.flows:
                 return found
 
     async def files(self) -> str:
         """Where uploads go, as the nodes say it."""
-        return _decode(flow_messages.lists, await self.good("GET", "/flows?after=z")).files
+        return _decode(flow_messages.list_decoder, await self.good("GET", "/flows?after=z")).files
 
 
 def _decode(decoder: Any, reply: Reply) -> Any:
--- a/winglift/cli/flow.py
+++ b/winglift/cli/flow.py
@@ -30,7 +30,7 @@
     """The exit code; what goes wrong is one line on standard error."""
     try:
         return asyncio.run(work)
-    except (ServerError, FilesError, FlowError, flow_messages.Invalid) as err:
+    except (ServerError, FilesError, FlowError, flow_messages.InvalidMessage) as err:
         print(f"winglift: {err}", file=sys.stderr)
         return 1
 
@@ -199,11 +199,11 @@
         with display() as shown:
             next_look = 0.0
             while reply.state is FlowState.OPEN:
-                await asyncio.sleep(constants.CLIENT_POLL_S)
+                await asyncio.sleep(constants.CLIENT_POLL_INTERVAL_S)
                 reply = await nodes.reply("GET", f"/flows/{reply.ref}?steps=no")
                 if time.monotonic() >= next_look or reply.state is not FlowState.OPEN:
                     reply = await nodes.flow(reply.ref)
-                    next_look = time.monotonic() + len(reply.steps) * constants.CLIENT_STEPS_SHARE
+                    next_look = time.monotonic() + len(reply.steps) * constants.CLIENT_POLL_INTERVAL_PER_STEP_S
                     shown.show(reply)
         return await _finish(reply, nodes, files, outdir)
 
@@ -243,7 +243,7 @@
         listing = [await _save(v, path, store, taken) for v in value.get("listing") or []]
         return value | {"location": path.resolve().as_uri(), "path": str(path.resolve()), "listing": listing}
     folder.mkdir(parents=True, exist_ok=True)
-    path.write_bytes(await store.get(value["location"].removeprefix(flow_messages.UPLOAD)))
+    path.write_bytes(await store.get(value["location"].removeprefix(flow_messages.UPLOAD_PREFIX)))
     return value | {"location": path.resolve().as_uri(), "path": str(path.resolve())}
 
 
@@ -319,7 +319,7 @@
     """A picture of the steps and the critical path: of a file, or of a workflow by its id, coloured by state."""
 
     async def work() -> int:
-        if flow_messages.is_flow(what):
+        if flow_messages.is_flow_ref(what):
             nodes_ = Server(server)
             reply = await nodes_.flow(what)
             store = Files(*parse_addr(files or await nodes_.files(), "--files"))
--- a/winglift/cli/serve.py
+++ b/winglift/cli/serve.py
@@ -46,7 +46,7 @@
     if flows is not None:
         from ..flows.service import Flows
 
-        node.extend(Flows(flows, node))
+        node.add_extension(Flows(flows, node))
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(node.run())
--- a/winglift/cloud/client.py
+++ b/winglift/cloud/client.py
@@ -10,7 +10,7 @@
 
 from .. import constants
 from ..config.settings import Cloud
-from ..net.budget import Budget
+from ..net.budget import TokenBucket
 from ..net.client import NotSent, Reply, Unanswered
 from ..net.runtime import current_runtime, monotonic_time
 from ..wire import cloud as cloud_messages
@@ -34,9 +34,9 @@
     """The cloud has no machine of this type, zone and kind (spot or ordinary) at present."""
 
 
-_types_decoder = msgspec.json.Decoder(cloud_messages.Types)
-_names_decoder = msgspec.json.Decoder(cloud_messages.Names)
-_listing_decoder = msgspec.json.Decoder(cloud_messages.Listing)
+_types_decoder = msgspec.json.Decoder(cloud_messages.MachineTypes)
+_names_decoder = msgspec.json.Decoder(cloud_messages.MachineNames)
+_listing_decoder = msgspec.json.Decoder(cloud_messages.MachineListing)
 
 
 class CloudClient:
@@ -53,7 +53,7 @@
         self.may_enforce_cancellations: Callable[[], bool] = lambda: False
         # Without the fence: are these machines still to be deleted for cancelled jobs, by a node that may not lead?
         self.may_delete_unfenced: Callable[[list[str]], bool] = lambda names: False
-        self._budget = Budget(limits.rps, limits.rps)
+        self._budget = TokenBucket(limits.rps, limits.rps)
         # Deletions for cancelled tasks that wait for their turn: all other calls wait until they are sent.
         self._cancellation_calls_waiting = 0
         self.set_leading(False)
@@ -65,7 +65,7 @@
 
     async def turn(self) -> None:
         """Wait until a call could be sent at once; rentals gathered meanwhile go as one request."""
-        while self._cancellation_calls_waiting or self._budget.free(monotonic_time()) < 1:
+        while self._cancellation_calls_waiting or self._budget.available(monotonic_time()) < 1:
             await asyncio.sleep(self._budget.wait_s(monotonic_time()) + BUDGET_WAIT_MARGIN_S)
 
     async def _call(
@@ -101,7 +101,7 @@
         except (Unanswered, NotSent) as err:
             raise CloudError(str(err)) from None
         if reply.status == 429:
-            self._budget.penalise(monotonic_time())
+            self._budget.deplete(monotonic_time())
         return reply
 
     @staticmethod
@@ -125,7 +125,7 @@
             found[machine_type.name] = machine_type
         return found
 
-    async def rent(self, request: cloud_messages.Rent) -> list[str]:
+    async def rent(self, request: cloud_messages.RentRequest) -> list[str]:
         """Rent machines and return their names. A repeated request name (`hire`) is idempotent.
 
         Raises NoCapacity, or CloudError if it is not known what happened.
@@ -141,7 +141,7 @@
         `for_cancellation`: each of them holds a cancelled task, so a leader in doubt may delete it too.
         """
         reply = await self._call(
-            "POST", "/hosts/delete", msgspec.json.encode(cloud_messages.Names(names)), for_cancellation
+            "POST", "/hosts/delete", msgspec.json.encode(cloud_messages.MachineNames(names)), for_cancellation
         )
         if reply.status != 200:
             raise CloudError(f"cloud: {reply.status} for a deletion")
@@ -155,19 +155,19 @@
         reply = await self._call(
             "POST",
             "/hosts/delete",
-            msgspec.json.encode(cloud_messages.Names(names)),
+            msgspec.json.encode(cloud_messages.MachineNames(names)),
             True,
             lambda: self.may_delete_unfenced(names),
         )
         if reply.status != 200:
             raise CloudError(f"cloud: {reply.status} for a deletion")
 
-    async def list(self) -> list[cloud_messages.Listed]:
+    async def list(self) -> list[cloud_messages.ListedMachine]:
         """All machines, read page by page; the list is as old as the cloud's lag. Raises CloudError."""
-        found: list[cloud_messages.Listed] = []
+        found: list[cloud_messages.ListedMachine] = []
         after = ""
         while True:
-            path = f"/hosts?limit={constants.LIST_PAGE}" + (f"&after={after}" if after else "")
+            path = f"/hosts?limit={constants.MACHINE_LIST_PAGE_MAX}" + (f"&after={after}" if after else "")
             reply = self._decode(_listing_decoder, await self._call("GET", path))
             found += reply.machines
             if not reply.more or not reply.machines:
--- a/winglift/cloud/inventory.py
+++ b/winglift/cloud/inventory.py
@@ -69,14 +69,14 @@
         waiting = self._unsent.get(pool)
         if waiting is not None and waiting.request is not None:
             waiting.request = replace(
-                waiting.request, count=min(waiting.request.count + rental.count, constants.RENT_MAX)
+                waiting.request, count=min(waiting.request.count + rental.count, constants.MACHINES_PER_RENTAL_MAX)
             )
             return
         self._number += 1
         # The name holds the term, which no other node ever has: a name is never reused (invariant 6).
         name = f"t{self.cluster.term}-{self._number}"
-        request = cloud_messages.Rent(
-            name, rental.type, rental.zone, rental.spot, min(rental.count, constants.RENT_MAX)
+        request = cloud_messages.RentRequest(
+            name, rental.type, rental.zone, rental.spot, min(rental.count, constants.MACHINES_PER_RENTAL_MAX)
         )
         self.pending_rentals[name] = self._unsent[pool] = ExternalOperation(name, monotonic_time(), request)
         if self._sender is None or self._sender.done():
@@ -117,7 +117,7 @@
         """Note that a pool has no capacity: request again later, with exponential backoff while it is refused."""
         refusals = self._refusals_in_a_row[pool] = self._refusals_in_a_row.get(pool, 0) + 1
         self.capacity_refusals[pool] = now + min(
-            constants.NO_CAPACITY_PAUSE_S * 2 ** (refusals - 1), constants.NO_CAPACITY_PAUSE_MAX_S
+            constants.CAPACITY_REFUSAL_BACKOFF_S * 2 ** (refusals - 1), constants.CAPACITY_REFUSAL_BACKOFF_MAX_S
         )
 
     def _clear_refusal(self, machine: Machine) -> None:
@@ -138,7 +138,9 @@
             self.pending_rentals.pop(request.request, None)
             self.cluster.changed = True
 
-    async def _request_machines(self, operation: ExternalOperation, request: cloud_messages.Rent) -> list[str] | None:
+    async def _request_machines(
+        self, operation: ExternalOperation, request: cloud_messages.RentRequest
+    ) -> list[str] | None:
         """Repeat a rental until it is answered: the machines' names, or None if the cloud refuses it."""
         while True:
             try:
@@ -158,9 +160,9 @@
             except CloudError as err:
                 # The same name again: if it was carried out, the answer is the same and nothing more is rented.
                 log.info("rental: request failed: name=%s error=%s", request.request, err)
-                await asyncio.sleep(constants.CLOUD_PAUSE_S)
+                await asyncio.sleep(constants.CLOUD_RETRY_DELAY_S)
 
-    def _on_rented(self, operation: ExternalOperation, request: cloud_messages.Rent, names: list[str]) -> None:
+    def _on_rented(self, operation: ExternalOperation, request: cloud_messages.RentRequest, names: list[str]) -> None:
         now = monotonic_time()
         if len(names) < request.count:
             self._note_refusal(_pool(request), now)
@@ -250,10 +252,13 @@
             # A machine that holds a cancelled task goes first, in a request without others: a leader in doubt may still
             # delete it.
             urgent = [name for name, machine in self._to_delete.items() if holds_cancelled(machine)]
-            batch = {name: self._to_delete[name] for name in (urgent or list(self._to_delete))[: constants.DELETE_MAX]}
+            batch = {
+                name: self._to_delete[name]
+                for name in (urgent or list(self._to_delete))[: constants.MACHINES_PER_DELETION_MAX]
+            }
             operations = [self.intent_log.deletions[name] for name in batch]
             try:
-                async with asyncio.timeout(constants.DELETE_RECORD_S):
+                async with asyncio.timeout(constants.DELETION_RECORD_TIMEOUT_S):
                     await self.intent_log.persist(operations)
             except TimeoutError:
                 # What a committed cancellation demands is recorded in the job: it is sent without the intent log.
@@ -269,7 +274,7 @@
                 # A deletion without an answer may have been carried out: the machines stay out of use, and it is
                 # repeated.
                 log.info("deletion: request failed: error=%s", err)
-                await asyncio.sleep(constants.CLOUD_PAUSE_S)
+                await asyncio.sleep(constants.CLOUD_RETRY_DELAY_S)
                 continue
             self._on_deleted(batch, operations)
 
@@ -285,7 +290,7 @@
     # -- reconciliation ------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Reconcile with the cloud's list every LIST_EVERY_S."""
+        """Reconcile with the cloud's list every MACHINE_LIST_INTERVAL_S."""
         while True:
             try:
                 asked = monotonic_time()
@@ -294,9 +299,9 @@
                 self.has_listed = True
             except CloudError as err:
                 log.info("machine list: request failed: error=%s", err)
-            await asyncio.sleep(constants.LIST_EVERY_S)
+            await asyncio.sleep(constants.MACHINE_LIST_INTERVAL_S)
 
-    def reconcile(self, listed: list[cloud_messages.Listed], now: float, asked: float) -> None:
+    def reconcile(self, listed: list[cloud_messages.ListedMachine], now: float, asked: float) -> None:
         """Reconcile with a list requested at the monotonic time `asked`; it describes up to twice its lag earlier."""
         self._delete_unlisted({entry.name for entry in listed}, asked)
         for entry in listed:
@@ -320,7 +325,7 @@
                 # It must have been listed, and would be still: it was reclaimed before it came up.
                 self.delete(machine, "not listed any more")
 
-    def _reconcile_entry(self, entry: cloud_messages.Listed, now: float) -> None:
+    def _reconcile_entry(self, entry: cloud_messages.ListedMachine, now: float) -> None:
         known = entry.name in self.cluster.machines
         machine = self.cluster.register_machine(entry.name, entry.type, entry.zone, entry.spot, now, entry.age_s)
         if not known:
@@ -340,11 +345,11 @@
     return operation.request.count if operation.request is not None else 0
 
 
-def _pool(request: cloud_messages.Rent) -> MachinePool:
+def _pool(request: cloud_messages.RentRequest) -> MachinePool:
     return request.type, request.zone, request.spot
 
 
-def _kind(request: cloud_messages.Rent) -> str:
+def _kind(request: cloud_messages.RentRequest) -> str:
     return "spot" if request.spot else "ordinary"
 
 
--- a/winglift/controller/demands.py
+++ b/winglift/controller/demands.py
@@ -92,7 +92,7 @@
 
     def _run_s(self, job: Job) -> float:
         """The padded estimate of one task's run time, as the operators' script corrects it."""
-        run_s = self.cluster.estimate_s(job) * constants.ESTIMATE_PAD
+        run_s = self.cluster.estimate_s(job) * constants.ESTIMATE_PADDING_RATIO
         return self.script.ask("estimate_s", run_s, job.spec.job_class, job.spec.estimate_s, run_s)
 
     def stalled_replicas(self, job: Job, now: float) -> list[policy_snapshot.StalledReplica]:
@@ -105,8 +105,8 @@
             waited_s = now - task.state_since
             fetches = max(1, machine.usage().pending_fetches)
             fetch_s = job.spec.image_gb / max(machine.type.fetch_gb_per_s, 1e-3) * fetches
-            remaining_s = fetch_s - waited_s if waited_s < fetch_s else waited_s * constants.FETCH_LATE_SHARE
-            if waited_s > constants.FETCH_WORTH_S and remaining_s > constants.RESTART_MIN_FETCH_S:
+            remaining_s = fetch_s - waited_s if waited_s < fetch_s else waited_s * constants.LATE_FETCH_REMAINING_RATIO
+            if waited_s > constants.LONG_FETCH_MIN_S and remaining_s > constants.RESTART_MIN_FETCH_S:
                 zones = zone_counts(job)
                 zones[machine.zone] -= 1
                 found.append(
@@ -139,7 +139,7 @@
 
     If there is no other machine, it is tried again where it failed: free capacity must not stay unused for ever.
     """
-    return frozenset(job.failed_on) if unplaced_s < constants.AVOID_S else frozenset()
+    return frozenset(job.failed_on) if unplaced_s < constants.MACHINE_AVOIDANCE_S else frozenset()
 
 
 def preemption_delay_s(objectives: Iterable[Objective]) -> float:
@@ -157,6 +157,6 @@
     waits: dict[str, float] = {}
     for objective in objectives:
         if objective.kind == "wait" and objective.within_s is not None:
-            after = objective.within_s * constants.DISPLACE_AFTER_SHARE
+            after = objective.within_s * constants.DISPLACEMENT_DELAY_SHARE
             waits[objective.job_class] = min(after, waits.get(objective.job_class, math.inf))
     return waits
--- a/winglift/controller/draining.py
+++ b/winglift/controller/draining.py
@@ -50,7 +50,7 @@
             rented_s = now - machine.rented_at
             if (
                 idle_s > self.script.number("idle_keep_s")
-                and rented_s > constants.FIRST_PAID_S - PAID_BOUNDARY_MARGIN_S
+                and rented_s > constants.MINIMUM_CHARGE_S - PAID_BOUNDARY_MARGIN_S
             ):
                 self.inventory.delete(machine, f"idle for {idle_s:.0f} s")
 
--- a/winglift/controller/failover.py
+++ b/winglift/controller/failover.py
@@ -89,7 +89,7 @@
         self._draining = dict(record.draining)
         self.resume_draining()
         for mtype, zone, spot, until in record.capacity_refusals:
-            remaining_s = min(until - today, constants.NO_CAPACITY_PAUSE_S)
+            remaining_s = min(until - today, constants.CAPACITY_REFUSAL_BACKOFF_S)
             if remaining_s > 0:
                 inventory.capacity_refusals[mtype, zone, spot] = now + remaining_s
         if record.next_migration_at > today:
--- a/winglift/controller/free_capacities.py
+++ b/winglift/controller/free_capacities.py
@@ -63,7 +63,7 @@
 
     def _forget_deleted_machines(self) -> None:
         machines = self.cluster.machines
-        if len(self._inspections) + len(self._cached) <= 4 * len(machines) + constants.INSPECTIONS_SPARE:
+        if len(self._inspections) + len(self._cached) <= 4 * len(machines) + constants.INSPECTION_CACHE_STALE_MAX:
             return
         self._inspections = {name: inspection for name, inspection in self._inspections.items() if name in machines}
         self._cached = {name: cached for name, cached in self._cached.items() if name in machines}
@@ -85,13 +85,13 @@
                         mtype.gpus,
                         mtype.memory_gb,
                         ready_in=max(1.0, mtype.boot_s - (now - rental.intended_at)),
-                        without_controller=self._without_controller(request.zone),
+                        zone_lacks_controller=self._zone_lacks_controller(request.zone),
                     )
                     for index in range(request.count)
                 ]
         return capacities
 
-    def _without_controller(self, zone: str) -> bool:
+    def _zone_lacks_controller(self, zone: str) -> bool:
         return self._zones_with_controllers is not None and zone not in self._zones_with_controllers
 
     def _capacity(self, machine: Machine, now: float) -> policy_snapshot.FreeCapacity | None:
@@ -101,7 +101,7 @@
         if machine.state is MachineState.UP:
             return self._running_capacity(machine, mtype, now)
         inherited = machine.state is MachineState.INHERITED
-        if inherited and now - machine.known_since > constants.INHERITED_TRUST_S:
+        if inherited and now - machine.known_since > constants.INHERITED_MACHINE_TIMEOUT_S:
             # A running machine would have reported by now: the lagging list still names what is gone.
             return None
         if inherited and machine.tasks:
@@ -123,7 +123,7 @@
             mtype.memory_gb - load.memory_gb,
             images=load.images,
             ready_in=self.settings.settings.workers.report_s,
-            without_controller=self._without_controller(machine.zone),
+            zone_lacks_controller=self._zone_lacks_controller(machine.zone),
         )
 
     def _booting_capacity(
@@ -140,7 +140,7 @@
             mtype.gpus,
             mtype.memory_gb,
             ready_in=max(1.0, mtype.boot_s - (now - machine.rented_at)),
-            without_controller=self._without_controller(machine.zone),
+            zone_lacks_controller=self._zone_lacks_controller(machine.zone),
         )
 
     def _running_capacity(
@@ -172,14 +172,14 @@
             0.0,
             0.0,
             inspector=lambda: self._inspect(machine),
-            without_controller=self._without_controller(machine.zone),
+            zone_lacks_controller=self._zone_lacks_controller(machine.zone),
         )
 
     def _inspect(self, machine: Machine) -> tuple[list[policy_snapshot.Victim], list[policy_snapshot.MovableReplica]]:
         """As `inspect_tasks`, cached until the machine's tasks change: most stay as they are for some cycles."""
         load, within, now = machine.usage(), self._within_guarantee, self._now
         inspection = self._inspections.get(machine.name)
-        if inspection is None or inspection.load is not load or now - inspection.at > constants.INSPECTION_KEPT_S:
+        if inspection is None or inspection.load is not load or now - inspection.at > constants.INSPECTION_CACHE_TTL_S:
             inspection = MachineInspection(load, now, *inspect_tasks(machine, within, now))
             self._inspections[machine.name] = inspection
         return inspection.victims, inspection.movable_replicas
--- a/winglift/controller/leader_term.py
+++ b/winglift/controller/leader_term.py
@@ -40,7 +40,7 @@
 from .draining import Drainer
 from .failover import FailoverHints
 from .fleet_reporter import FleetReporter
-from .pacing import CyclePacer, pause_s, rest_s
+from .pacing import CyclePacer, long_pause_s, pause_s
 from .plan_executor import PlanExecutor
 from .record_watcher import RecordWatcher
 from .snapshot_builder import SnapshotBuilder
@@ -95,7 +95,7 @@
         lag_s = self.settings.settings.cloud.list_lag_s
         self.intent_log = IntentLog(state, limits, fence, lag_s, self._add_failover_hints)
         self.batcher = Batcher(state, limits, self.cluster, fence)
-        self.cluster.on_ending = self.batcher.flush_soon
+        self.cluster.on_ending = self.batcher.schedule_flush
         self.inventory = Inventory(cloud, self.cluster, lag_s, self.intent_log)
         self.image_cache_snapshots = ImageCacheSnapshots(state, limits, self.leadership, fence)
         self.garbage_collector = GarbageCollector(state, limits, self.duties)
@@ -132,9 +132,9 @@
 
     def _inherit_fleet_summary(self) -> None:
         """Take cached images and silent machines from the previous leader's last fleet summary."""
-        fleet, fleet_at = self.peers.fleet, self.peers.fleet_at
+        fleet, fleet_updated_at = self.peers.fleet, self.peers.fleet_updated_at
         self.cluster.inherited_images = dict(fleet.images)
-        self.cluster.silent_since = {name: fleet_at - silent_s for name, silent_s in fleet.silent.items()}
+        self.cluster.silent_since = {name: fleet_updated_at - silent_s for name, silent_s in fleet.silent.items()}
 
     def _add_failover_hints(self, record: IntentRecord) -> None:
         self.failover_hints.add_hints(record, monotonic_time(), wall_time())
@@ -181,7 +181,7 @@
         """Continue what the previous leader had begun. Intent log and job records are read concurrently."""
         await self.intent_log.load()
         while not self.record_watcher.loaded:
-            await asyncio.sleep(constants.FAILOVER_POLL_S)
+            await asyncio.sleep(constants.FAILOVER_POLL_INTERVAL_S)
         now = monotonic_time()
         self.failover_hints.apply_hints(self.intent_log.inherited, now, wall_time())
         self.duties.mark_ready(DutyName.PLACEMENT)
@@ -194,7 +194,7 @@
             len(self.inventory.pending_rentals),
         )
         while not self.inventory.has_listed:
-            await asyncio.sleep(constants.FAILOVER_POLL_S)
+            await asyncio.sleep(constants.FAILOVER_POLL_INTERVAL_S)
         self.duties.mark_ready(DutyName.CLOUD_OPERATIONS)
         self.duties.mark_ready(DutyName.GARBAGE_COLLECTION)
         self._pacer.wake()
@@ -224,7 +224,7 @@
         job = self.cluster.jobs.get(ref)
         return job is None or job.state is JobState.CANCELLED
 
-    def has_cleared_job(self, ref: str) -> bool:
+    def has_stopped_all_tasks(self, ref: str) -> bool:
         """Has this leader proof that all tasks of a cancelled job have stopped?"""
         job = self.cluster.jobs.get(ref)
         return self.handles_cancellation(ref) and (job is None or not job.active)
@@ -274,7 +274,7 @@
         """Run planning cycles until another node is found to lead."""
         while True:
             await self._pacer.wait_for_work()
-            pause = rest = constants.CYCLE_S
+            pause = rest = constants.CYCLE_INTERVAL_S
             self.election.check_lease()
             self.duties.sync_with_lease()
             if self.batcher.fence_lost or self.intent_log.fence_lost or self.cluster.superseded:
@@ -285,7 +285,7 @@
                 self._run_cycle(began)
                 took = monotonic_time() - began
                 pause = pause_s(took)
-                rest = pause if self._replicas_wait else rest_s(took)
+                rest = pause if self._replicas_wait else long_pause_s(took)
                 if took > SLOW_CYCLE_S:
                     log.debug("planning cycle slow: duration_ms=%.0f", took * 1000)
             elif self.loaded and self.may_only_enforce_cancellations():
@@ -295,11 +295,11 @@
 
     def _may_decide(self, now: float) -> bool:
         """Is this node entitled to decide? Records since when without a break; a pause of the process is a break."""
-        if not self.leadership.entitled(now) or now > self._next_pass + constants.NODE_PAUSE_S:
+        if not self.leadership.entitled(now) or now > self._next_pass + constants.PROCESS_PAUSE_MIN_S:
             # Reports wait unread in the sockets when a paused process resumes: that none was received does not show
             # that the workers were silent.
             self.failure_detector.entitled_since = None
-        self._next_pass = now + constants.IDLE_CYCLE_S
+        self._next_pass = now + constants.IDLE_CYCLE_INTERVAL_S
         if not self.leadership.entitled(now):
             return False
         if self.failure_detector.entitled_since is None:
@@ -315,7 +315,7 @@
         return (
             self.leadership.role is Role.DOUBTFUL
             and self.state.health() is Health.DOWN
-            and not self.peers.state_works_elsewhere(monotonic_time())
+            and not self.peers.any_peer_reaches_state_service(monotonic_time())
         )
 
     def _enforce_cancellations(self, now: float) -> None:
@@ -324,9 +324,9 @@
             self.inventory.delete(machine, reason)
 
     def _run_cycle(self, now: float) -> None:
-        """One pass: plan if something has changed or none was made for `IDLE_CYCLE_S`; commit; report to the peers."""
+        """One pass: plan if something has changed or `IDLE_CYCLE_INTERVAL_S` is over; commit; report to the peers."""
         cluster = self.cluster
-        idle = now - self._last_plan >= constants.IDLE_CYCLE_S
+        idle = now - self._last_plan >= constants.IDLE_CYCLE_INTERVAL_S
         if cluster.changed or idle:
             cluster.changed = False
             self.failover_hints.resume_draining()
@@ -358,14 +358,14 @@
             elif job.state is JobState.CANCELLED:
                 for task in job.active.values():
                     # A lost stop command is repeated: within `cancel_s` all tasks of the job must be gone.
-                    if task.state in PRESENT and now - task.stop_sent_at > constants.STOP_REPEAT_S:
+                    if task.state in PRESENT and now - task.stop_sent_at > constants.STOP_RETRY_DELAY_S:
                         task.stop_sent_at = now
                         task.mark_stopping(0.0)
                         self.task_stopper.add(task)
 
     def _check_machines(self, now: float) -> None:
-        hears_anyone = not self.peers.by_node or self.peers.any_fresh(now)
-        verdicts = self.failure_detector.evaluate(now, wall_time(), hears_anyone, self.peers.all_fresh(now))
+        reaches_any_peer = not self.peers.by_node or self.peers.any_fresh(now)
+        verdicts = self.failure_detector.evaluate(now, wall_time(), reaches_any_peer, self.peers.all_fresh(now))
         if verdicts.isolated:
             self.duties.relinquish()
             # Not cancelled by `stop`: the resignation itself ends this term. The reference protects the task from
--- a/winglift/controller/snapshot_builder.py
+++ b/winglift/controller/snapshot_builder.py
@@ -41,7 +41,7 @@
         self.script = script
         self.may_rent = may_rent
         self.preferred_machines: dict[str, frozenset[str]] = {}  # job: machines of the steps before it in a workflow
-        self.recent_arrivals: deque[Arrival] = deque(maxlen=constants.RECENT_ARRIVALS)
+        self.recent_arrivals: deque[Arrival] = deque(maxlen=constants.RECENT_ARRIVALS_MAX)
         self.gang_reservations = GangReservations(cluster)
         self.free_capacities = FreeCapacities(settings, cluster, inventory)
         objectives = settings.settings.objectives
--- a/winglift/cwl/needs.py
+++ b/winglift/cwl/needs.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..wire.flows import Hints, Staged
+from ..wire.flows import Hints, WorkDirEntry
 from .errors import CwlError, Unsupported
 
 NAMESPACE = "winglift:"
@@ -172,20 +172,20 @@
     return of(found, "dockerPull") or of(found, "dockerImageId") or "none"
 
 
-def initial(needs: Needs, place: Callable[..., str]) -> list[Staged]:
+def initial(needs: Needs, place: Callable[..., str]) -> list[WorkDirEntry]:
     """What lies in the work folder; `writable` needs nothing, since inputs are always copied."""
     found = needs.get("InitialWorkDirRequirement")
     if found is None:
         return []
     listing = of(found, "listing")
     if isinstance(listing, str):
-        return [Staged(listing)]
+        return [WorkDirEntry(listing)]
     made = []
     for entry in listing or []:
         if isinstance(entry, str):
-            made.append(Staged(entry))
+            made.append(WorkDirEntry(entry))
         elif of(entry, "entry") is not None:
-            made.append(Staged(of(entry, "entry"), of(entry, "entryname")))
+            made.append(WorkDirEntry(of(entry, "entry"), of(entry, "entryname")))
         else:
             raise Unsupported(
                 f"{place('InitialWorkDirRequirement')}: a literal file or folder in listing; "
--- a/winglift/cwl/order.py
+++ b/winglift/cwl/order.py
@@ -8,7 +8,7 @@
 from urllib.parse import unquote, urlparse
 
 from ..flows.values import describe, fits
-from ..wire.flows import UPLOAD, Param
+from ..wire.flows import UPLOAD_PREFIX, Param
 from .errors import CwlError, Place, Unsupported
 from .types import LEFT
 
@@ -63,7 +63,7 @@
         return {
             "class": "File",
             "basename": name,
-            "location": f"{UPLOAD}{self.blob(content)}",
+            "location": f"{UPLOAD_PREFIX}{self.blob(content)}",
             "size": len(content),
             "checksum": f"sha1${hashlib.sha1(content).hexdigest()}",
         }
--- a/winglift/duties/duty.py
+++ b/winglift/duties/duty.py
@@ -135,7 +135,7 @@
         """May this duty be carried out at steady time `now`? Asked after every wait, with the clock read anew.
 
         `entitled` counts the lease from when its renewal was sent, by a clock that may be slow (CLOCK_DRIFT), and ends
-        it LEADER_MARGIN_S early, to cover the time between this check and the sending.
+        it LEADER_LEASE_MARGIN_S early, to cover the time between this check and the sending.
         """
         duty = self._all[name]
         return (
--- a/winglift/duties/external_operation.py
+++ b/winglift/duties/external_operation.py
@@ -11,7 +11,7 @@
 from enum import Enum, auto
 
 from ..model.task_state import InvalidTransition
-from ..wire.cloud import Rent
+from ..wire.cloud import RentRequest
 
 
 class OperationState(Enum):
@@ -60,7 +60,7 @@
 
     name: str  # of the rental, or of the machine to be deleted
     intended_at: float  # steady time in s; of an inherited rental, computed from times of day
-    request: Rent | None = None  # the rental request; None: a deletion
+    request: RentRequest | None = None  # the rental request; None: a deletion
     state: OperationState = OperationState.INTENDED
     machines: tuple[str, ...] = ()  # that a rental has brought
     ended_at: float = math.inf
--- a/winglift/duties/garbage_collection.py
+++ b/winglift/duties/garbage_collection.py
@@ -40,7 +40,7 @@
             *(state_messages.Condition(put.key, version) for put, version in self.puts),
         ]
         return state_messages.Transaction(
-            conditions, [*(state_messages.Drop(key) for key, _ in self.keys), *(put for put, _ in self.puts)]
+            conditions, [*(state_messages.Delete(key) for key, _ in self.keys), *(put for put, _ in self.puts)]
         )
 
 
@@ -64,7 +64,7 @@
     def _has_spare_budget(self) -> bool:
         """Is the duty held, and is there write budget that neither starts nor ends nor users need?"""
         return self.duties.may_act(DutyName.GARBAGE_COLLECTION, monotonic_time()) and self.state.has_spare_writes(
-            constants.GC_WRITES_KEPT
+            constants.GC_SPARE_WRITES_SHARE
         )
 
     async def run(self) -> None:
@@ -81,7 +81,7 @@
                 while not self._has_spare_budget():
                     if not self.duties.may_act(DutyName.GARBAGE_COLLECTION, monotonic_time()):
                         return
-                    await asyncio.sleep(constants.WRITE_AGAIN_S)
+                    await asyncio.sleep(constants.WRITE_RETRY_DELAY_S)
                 # Every write of a duty is conditional on the leadership key at its revision (invariant 1).
                 result = await self.state.commit(removal.transaction(self.duties.fence.condition()))
                 if isinstance(result, state_messages.Committed):
--- a/winglift/duties/intent_log.py
+++ b/winglift/duties/intent_log.py
@@ -19,7 +19,7 @@
 from ..net.runtime import monotonic_time, wall_time
 from ..store.client import InvalidRequest, LeaseExpired, OutcomeUnknown, RequestRejected, StateClient
 from ..wire import state as state_messages
-from ..wire.cloud import Rent
+from ..wire.cloud import RentRequest
 from . import intent_record
 from .duty import Fence
 from .external_operation import ExternalOperation, OperationEvent, OperationState
@@ -54,7 +54,7 @@
         self.rentals: dict[str, ExternalOperation] = {}
         self.deletions: dict[str, ExternalOperation] = {}
         self._add_failover_hints = add_failover_hints  # fills in the record's optional fields
-        self._most_bytes = int(limits.value_kb * 1024) - constants.RECORD_SPARE_BYTES
+        self._most_bytes = int(limits.value_kb * 1024) - constants.RECORD_HEADROOM_BYTES
         # The cloud's lists are up to twice their lag old: every list requested from now on shows what ended longer ago.
         self._keep_s = 2 * list_lag_s + constants.INTENT_LOG_KEEP_MARGIN_S
         self._version = 0
@@ -74,7 +74,7 @@
                 item = await self.state.get(intent_record.INTENT_LOG_KEY, urgent=True)
             except (RequestRejected, OutcomeUnknown) as err:
                 log.debug("intent log: not read, retrying: error=%s", err)
-                await asyncio.sleep(constants.INTENT_LOG_RETRY_S)
+                await asyncio.sleep(constants.INTENT_LOG_RETRY_DELAY_S)
                 continue
             self._version = item.version if item is not None else 0
             if item is not None:
@@ -102,7 +102,7 @@
         """A rental as an earlier leader recorded it. Raises InvalidRecord if its type or zone is not in the record."""
         if not (0 <= intent.type < len(record.types) and 0 <= intent.zone < len(record.zones)):
             raise InvalidRecord(f"intent record: rental {intent.name} names no type or zone")
-        request = Rent(
+        request = RentRequest(
             intent.name, record.types[intent.type], record.zones[intent.zone], bool(intent.spot), intent.count
         )
         intended_at = now - max(0.0, wall_now - record.base_time - intent.at_s)
@@ -149,7 +149,7 @@
         """Write when operations wait for it; ends and failover hints alone are written with spare write budget only."""
         while not self.fence_lost:
             try:
-                async with asyncio.timeout(constants.INTENT_LOG_POLL_S):
+                async with asyncio.timeout(constants.INTENT_LOG_POLL_INTERVAL_S):
                     await self._write_requested.wait()
             except TimeoutError:
                 pass
@@ -160,7 +160,7 @@
                 await self._write(required=True)
             elif (
                 monotonic_time() - self._written_at >= constants.INTENT_LOG_WRITE_INTERVAL_S
-                and self.state.has_spare_writes(constants.START_WRITES_KEPT)
+                and self.state.has_spare_writes(constants.PROGRESS_SPARE_WRITES_SHARE)
             ):
                 await self._write(required=False)
 
@@ -177,7 +177,7 @@
             [state_messages.Put(intent_record.INTENT_LOG_KEY, msgspec.Raw(value))],
         )
         try:
-            result = await self.state.commit(txn, max_wait=constants.INTENT_LOG_WAIT_S)
+            result = await self.state.commit(txn, max_wait=constants.INTENT_LOG_TOKEN_TIMEOUT_S)
         except (RequestRejected, LeaseExpired) as err:
             level = logging.WARNING if isinstance(err, InvalidRequest) else logging.DEBUG
             log.log(level, "intent log: write rejected: error=%s", err)
@@ -234,7 +234,7 @@
                 del operations[name]
 
     async def _retry_later(self) -> None:
-        await asyncio.sleep(constants.INTENT_LOG_RETRY_S)
+        await asyncio.sleep(constants.INTENT_LOG_RETRY_DELAY_S)
         self._write_requested.set()
 
     async def _fence_lost(self) -> None:
@@ -290,10 +290,10 @@
         return low
 
     def _fits(self, operations: list[ExternalOperation]) -> bool:
-        """Do these operations fit into one record, beside FAILOVER_HINTS_BYTES for hints?"""
+        """Do these operations fit into one record, beside FAILOVER_HINTS_RESERVED_BYTES for hints?"""
         return (
             len(intent_record.encode(self._record_without_hints(operations)))
-            <= self._most_bytes - constants.FAILOVER_HINTS_BYTES
+            <= self._most_bytes - constants.FAILOVER_HINTS_RESERVED_BYTES
         )
 
     def _record_without_hints(self, operations: list[ExternalOperation]) -> intent_record.IntentRecord:
@@ -321,7 +321,7 @@
 
 
 def _rental_intent(
-    operation: ExternalOperation, request: Rent, intended_at_s: int, types: dict[str, int], zones: dict[str, int]
+    operation: ExternalOperation, request: RentRequest, intended_at_s: int, types: dict[str, int], zones: dict[str, int]
 ) -> intent_record.RentalIntent:
     """A rental as the record holds it; a type or zone not yet in the tables `types` and `zones` is added to them."""
     return intent_record.RentalIntent(
--- a/winglift/flows/command.py
+++ b/winglift/flows/command.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from ..wire.flows import BASE, UPLOAD, Binding, Fetch, Found, Output, Param, Tool, Work
+from ..wire.flows import TASK_DIR, UPLOAD_PREFIX, Binding, InputFile, Output, Param, TaskDescription, TaskResult, Tool
 from .expressions import Evaluator, ExpressionError
 from .values import FlowError, describe, fits
 
-OUT = f"{BASE}/out"
-TMP = f"{BASE}/tmp"
+OUT = f"{TASK_DIR}/out"
+TMP = f"{TASK_DIR}/tmp"
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Made:
-    work: Work
+    work: TaskDescription
     size: Size
     blobs: dict[str, bytes] = field(default_factory=dict)  # contents to be uploaded, by digest
 
@@ -54,7 +54,7 @@
         self.tool = tool
         self.where = where
         self._evaluate = evaluate
-        self._files: dict[str, Fetch] = {}
+        self._files: dict[str, InputFile] = {}
         self._blobs: dict[str, bytes] = {}
         self._count = 0
         self.inputs = dress({name: self._place(value) for name, value in inputs.items()})
@@ -86,13 +86,13 @@
             raise FlowError(f"{self.where}: no name for a file: {name!r}")
         path = f"{folder}/{name}"
         if value["class"] == "Directory":
-            self._files[path] = Fetch(path)
+            self._files[path] = InputFile(path)
             return value | {"path": path, "listing": [self._stage(v, path) for v in value.get("listing") or []]}
         location = value.get("location", "")
-        if location.startswith(UPLOAD):
-            self._files[path] = Fetch(path, location.removeprefix(UPLOAD))
+        if location.startswith(UPLOAD_PREFIX):
+            self._files[path] = InputFile(path, location.removeprefix(UPLOAD_PREFIX))
         elif isinstance(value.get("contents"), str):
-            self._files[path] = Fetch(path, self._blob(value["contents"].encode()))
+            self._files[path] = InputFile(path, self._blob(value["contents"].encode()))
         else:
             raise FlowError(f"{self.where}: {name}: neither content nor upload")
         return value | {"path": path}
@@ -102,7 +102,7 @@
         if isinstance(value, dict):
             if value.get("class") in ("File", "Directory"):
                 self._count += 1
-                return self._stage(value, f"{BASE}/in/{self._count}")
+                return self._stage(value, f"{TASK_DIR}/in/{self._count}")
             return {k: self._place(v) for k, v in value.items()}
         return [self._place(v) for v in value] if isinstance(value, list) else value
 
@@ -211,7 +211,7 @@
         )
         self.runtime |= {"cores": math.ceil(size.cpus), "ram": math.ceil(size.memory_gb * 1024)}
         self._initial()
-        work = Work(
+        work = TaskDescription(
             command=self._command(),
             env={name: self._text(text, f"variable {name}") for name, text in tool.env.items()},
             files=list(self._files.values()),
@@ -234,7 +234,7 @@
                 found.append(pattern.removeprefix(f"{OUT}/"))
         return found
 
-    def collect(self, found: Found) -> dict[str, Any]:
+    def collect(self, found: TaskResult) -> dict[str, Any]:
         """The tool's outputs. Raises FlowError where they are not of their types."""
         self.runtime |= {"exitCode": found.code}
         made = {}
--- a/winglift/flows/driver.py
+++ b/winglift/flows/driver.py
@@ -15,7 +15,7 @@
 from ..wire import state as state_messages
 from ..wire.cloud import MachineType
 from ..wire.flows import FlowState
-from ..wire.users import Invalid
+from ..wire.users import InvalidMessage
 from . import records
 from .expressions import Engines
 from .files import Files, FilesError
@@ -132,7 +132,7 @@
                         run = Run(self, head, version)
                         try:
                             await run.load()
-                        except (FlowError, Invalid) as err:
+                        except (FlowError, InvalidMessage) as err:
                             await self._fail(run, err)
                             continue
                     if run.head.state is FlowState.OPEN:
@@ -189,10 +189,12 @@
         wake = self._wakes[ref]
         wake.clear()
         try:
-            async with asyncio.timeout(constants.FLOW_CYCLE_S):
+            async with asyncio.timeout(constants.FLOW_CYCLE_INTERVAL_S):
                 await wake.wait()
         except TimeoutError:
             pass
         # What starts, ends and users need comes first.
-        while self.state.writes_free() < self.settings.settings.state.write_rps * constants.FLOW_WRITES_KEPT:
-            await asyncio.sleep(constants.WRITE_AGAIN_S)
+        while (
+            self.state.available_writes() < self.settings.settings.state.write_rps * constants.FLOW_SPARE_WRITES_SHARE
+        ):
+            await asyncio.sleep(constants.WRITE_RETRY_DELAY_S)
--- a/winglift/flows/engine.py
+++ b/winglift/flows/engine.py
@@ -11,7 +11,7 @@
 from enum import Enum, auto
 from typing import Any
 
-from ..wire.flows import UPLOAD, Expression, FlowOutput, Hints, Param, Plan, Step, Tool, Workflow
+from ..wire.flows import UPLOAD_PREFIX, Expression, FlowOutput, Hints, Param, Plan, Step, Tool, Workflow
 from .expressions import Engines, Evaluator, ExpressionError
 from .values import FlowError, describe, files_of, fits, gather, nest, scatter
 
@@ -170,7 +170,7 @@
         workflow = self.plan.processes[key]
         assert isinstance(workflow, Workflow)
         values = self._check(workflow.inputs, inputs, path)
-        frame = Frame(path, key, workflow, values, workflow.hints.over(hints), parent, len(workflow.steps))
+        frame = Frame(path, key, workflow, values, workflow.hints.with_defaults(hints), parent, len(workflow.steps))
         for step in workflow.steps:
             here = f"{path}/{step.name}" if path else step.name
             missing = {s for i in step.inputs for s in i.source if s not in frame.values}
@@ -229,11 +229,11 @@
         """Files with their contents."""
         for file in files_of(value):
             if "contents" not in file:
-                digest = file["location"].removeprefix(UPLOAD)
+                digest = file["location"].removeprefix(UPLOAD_PREFIX)
                 if digest not in self.contents:
                     raise Needs(digest)
         if isinstance(value, dict) and value.get("class") == "File" and "contents" not in value:
-            return value | {"contents": self.contents[value["location"].removeprefix(UPLOAD)]}
+            return value | {"contents": self.contents[value["location"].removeprefix(UPLOAD_PREFIX)]}
         if isinstance(value, list):
             return [self._load(v) for v in value]
         return value
@@ -296,8 +296,8 @@
                 node.results[place] = None
             for place, inputs in checked:
                 inner = node.path if shape is None else f"{node.path}[{place}]"
-                self._open(step.run, inner, inputs, step.hints.over(frame.hints), (node, place))
+                self._open(step.run, inner, inputs, step.hints.with_defaults(frame.hints), (node, place))
             return
         said = process.hints if isinstance(process, Tool) else Hints()
-        hints = step.hints.over(said.over(frame.hints))
+        hints = step.hints.with_defaults(said.with_defaults(frame.hints))
         self._ready.append(Leaf(node.path, step.run, hints, [i for _, i in checked], node))
--- a/winglift/flows/expressions.py
+++ b/winglift/flows/expressions.py
@@ -114,7 +114,9 @@
 class Engines:
     """JavaScript contexts, a few, by their library."""
 
-    def __init__(self, time_s: float = constants.EXPRESSION_S, memory_mb: float = constants.EXPRESSION_MB) -> None:
+    def __init__(
+        self, time_s: float = constants.EXPRESSION_CPU_TIMEOUT_S, memory_mb: float = constants.EXPRESSION_MEMORY_MAX_MB
+    ) -> None:
         self.time_s = time_s
         self.memory_mb = memory_mb
         self._contexts: OrderedDict[tuple[str, ...], Any] = OrderedDict()
@@ -131,7 +133,7 @@
             for text in library:
                 found.eval(text)
             self._contexts[library] = found
-            while len(self._contexts) > constants.EXPRESSION_CONTEXTS:
+            while len(self._contexts) > constants.EXPRESSION_CONTEXTS_MAX:
                 self._contexts.popitem(last=False)
         return found
 
--- a/winglift/flows/files.py
+++ b/winglift/flows/files.py
@@ -1,7 +1,7 @@
 """Client of the store of uploads: contents by their SHA-256, descriptions of tasks, what tasks left.
 
 PUT, GET /blobs/{sha256}             a content
-PUT, GET /tasks/{job}/{page}         FLOW_PAGE descriptions each; the first upload counts, later ones change nothing
+PUT, GET /tasks/{job}/{page}         FLOW_TASKS_PER_UPLOAD_MAX descriptions each; only the first upload counts
 GET /results/{job}?after=N           what tasks left that succeeded, in pages
 GET /results/{job}?failed=1          what attempts left that failed
 """
@@ -60,16 +60,16 @@
             raise FilesError(f"store of uploads: another content under {digest}")
         return content
 
-    async def describe(self, job: str, page: int, works: list[flow_messages.Work]) -> None:
+    async def describe(self, job: str, page: int, works: list[flow_messages.TaskDescription]) -> None:
         await self._call("PUT", f"/tasks/{job}/{page}", flow_messages.encode(works))
 
-    async def found(self, job: str, failed: bool = False) -> list[flow_messages.FoundItem]:
-        items: list[flow_messages.FoundItem] = []
+    async def found(self, job: str, failed: bool = False) -> list[flow_messages.TaskResultItem]:
+        items: list[flow_messages.TaskResultItem] = []
         while True:
             after = items[-1].number if items else -1
             body = await self._call("GET", f"/results/{job}?" + ("failed=1" if failed else f"after={after}"))
             try:
-                page = flow_messages.found_pages.decode(body)
+                page = flow_messages.task_results_decoder.decode(body)
             except msgspec.DecodeError as err:
                 raise FilesError(f"store of uploads: results of {job}: {err}") from None
             items += page.items
--- a/winglift/flows/graph.py
+++ b/winglift/flows/graph.py
@@ -23,7 +23,7 @@
 
     @property
     def run_s(self) -> float:
-        return constants.FLOW_ESTIMATE_S if self.hints.run_s is None else self.hints.run_s
+        return constants.FLOW_STEP_RUN_DEFAULT_S if self.hints.run_s is None else self.hints.run_s
 
 
 def graph(plan: Plan) -> dict[str, Node]:
@@ -49,13 +49,13 @@
         if key in outer:
             raise FlowError(f"{path or 'the workflow'}: a workflow runs itself")
         # A few lines can describe a graph that no memory holds: two steps a level, each running the next level.
-        if len(outer) > constants.FLOW_DEPTH or len(nodes) + len(process.steps) > constants.FLOW_STEPS_MAX:
+        if len(outer) > constants.FLOW_DEPTH_MAX or len(nodes) + len(process.steps) > constants.FLOW_STEPS_MAX:
             raise FlowError(
-                f"{path}: more than {constants.FLOW_DEPTH} workflows inside one another, "
+                f"{path}: more than {constants.FLOW_DEPTH_MAX} workflows inside one another, "
                 f"or {constants.FLOW_STEPS_MAX} steps"
             )
         behind = {p.name: given.get(p.name, set()) for p in process.inputs}
-        own = process.hints.over(hints)
+        own = process.hints.with_defaults(hints)
         missing = {step.name: {s for i in step.inputs for s in i.source if s not in behind} for step in process.steps}
         takers: dict[str, list[Step]] = {}
         for step in process.steps:
@@ -70,11 +70,11 @@
             wide = scattered or bool(step.scatter)
             target = plan.processes[step.run]
             if isinstance(target, Workflow):
-                found = lay(step.run, here, sources, step.hints.over(own), wide, parents, (*outer, key))
+                found = lay(step.run, here, sources, step.hints.with_defaults(own), wide, parents, (*outer, key))
                 made = {f"{step.name}/{name}": found.get(name, set()) for name in step.outputs}
             else:
                 said = target.hints if isinstance(target, Tool) else Hints(run_s=0.0)
-                nodes[here] = Node(here, step.run, step.hints.over(said.over(own)), wide, parents)
+                nodes[here] = Node(here, step.run, step.hints.with_defaults(said.with_defaults(own)), wide, parents)
                 made = {f"{step.name}/{name}": {here} for name in step.outputs}
             behind.update(made)
             for source in made:
--- a/winglift/flows/parts.py
+++ b/winglift/flows/parts.py
@@ -7,7 +7,7 @@
 
 from .. import constants
 from ..wire.flows import Hints, Tool
-from ..wire.users import Invalid, Kind, Priority, Submission, encode, parse_submission
+from ..wire.users import InvalidMessage, Kind, Priority, Submission, encode, parse_submission
 from .command import Builder, Made, Size
 from .engine import Engine, Leaf
 from .values import FlowError, bare, digest, job_ref
@@ -39,7 +39,7 @@
             await asyncio.sleep(0)
         made = builder(engine, leaf, place).build()
         counts[made.size] = counts.get(made.size, 0) + 1
-        key = made.size, (counts[made.size] - 1) // constants.MAX_PIECES
+        key = made.size, (counts[made.size] - 1) // constants.TASKS_PER_JOB_MAX
         if key not in found:
             found[key] = Part(job_ref(flow, leaf.path, len(found)), made.size, [], [])
         found[key].places.append(place)
@@ -73,7 +73,7 @@
         one_zone=False,
         spread=False,
         spot=bool(hints.spot),
-        estimate_s=constants.FLOW_ESTIMATE_S if hints.run_s is None else hints.run_s,
+        estimate_s=constants.FLOW_STEP_RUN_DEFAULT_S if hints.run_s is None else hints.run_s,
         checkpoint_s=hints.checkpoint_s or 0.0,
         save_s=hints.save_s or 0.0,
         due_s=due_s,
@@ -81,5 +81,5 @@
     try:
         # What users may not submit as a job, no workflow submits either.
         return parse_submission(encode(made))
-    except Invalid as err:
+    except InvalidMessage as err:
         raise FlowError(f"{where}: {err}") from None
--- a/winglift/flows/records.py
+++ b/winglift/flows/records.py
@@ -11,7 +11,7 @@
 
 from .. import constants
 from ..model.records import InvalidRecord
-from ..wire.flows import FlowReply, FlowState, FlowSubmission, How
+from ..wire.flows import FlowReply, FlowState, FlowSubmission, StepOutcome
 from .values import job_ref
 
 T = TypeVar("T")
@@ -39,7 +39,7 @@
     to take the results over."""
 
     path: str
-    how: How
+    how: StepOutcome
     ended: float  # time of day
     key: str = ""
     results: list[dict[str, Any]] | None = None
@@ -70,8 +70,8 @@
 
 def bounded(text: str) -> str:
     """The end of a text, as much as a record keeps: counted as it is written, where a byte may take six."""
-    text = text[-constants.FLOW_ERRORS_BYTES :]
-    while len(msgspec.json.encode(text)) > constants.FLOW_ERRORS_BYTES:
+    text = text[-constants.FLOW_ERROR_MAX_BYTES :]
+    while len(msgspec.json.encode(text)) > constants.FLOW_ERROR_MAX_BYTES:
         text = text[len(text) // 8 + 1 :]
     return text
 
--- a/winglift/flows/run.py
+++ b/winglift/flows/run.py
@@ -24,7 +24,7 @@
 from ..net.runtime import monotonic_time, wall_time
 from ..store.client import InvalidRequest, RequestRejected
 from ..wire import state as state_messages
-from ..wire.flows import Expression, FlowState, FoundItem, How, Tool
+from ..wire.flows import Expression, FlowState, StepOutcome, TaskResultItem, Tool
 from . import records
 from .engine import Engine, Leaf, Needs
 from .files import FilesError
@@ -81,7 +81,7 @@
                     record = records.decode_step(item.value)
                     if found is self.records:
                         found[record.path] = record
-                    elif record.how is How.DONE and record.key:
+                    elif record.how is StepOutcome.DONE and record.key:
                         found[record.key] = record
         self.engine = Engine(plan, order, leader.engines)
         await self._follow(self.engine.start)
@@ -99,14 +99,14 @@
                         call()
                         call = None
                     # A wide graph has thousands of steps at once: the leader's other work goes on in between.
-                    while self.engine.go(constants.FLOW_STEPS_AT_ONCE):
+                    while self.engine.go(constants.FLOW_STEP_BATCH_MAX):
                         await asyncio.sleep(0)
                     return
                 except Needs as need:
                     content = await self.leader.files.get(need.digest)
-                    if len(content) > constants.LOAD_CONTENTS_BYTES:
+                    if len(content) > constants.LOAD_CONTENTS_MAX_BYTES:
                         raise FlowError(
-                            f"loadContents: a file of more than {constants.LOAD_CONTENTS_BYTES} bytes"
+                            f"loadContents: a file of more than {constants.LOAD_CONTENTS_MAX_BYTES} bytes"
                         ) from None
                     self.engine.contents[need.digest] = content.decode(errors="replace")
         finally:
@@ -117,11 +117,11 @@
         looked = 0
         while self._inbox:
             looked += 1
-            if looked % constants.FLOW_STEPS_AT_ONCE == 0:
+            if looked % constants.FLOW_STEP_BATCH_MAX == 0:
                 await asyncio.sleep(0)
             leaf = self._inbox.popleft()
             record = self.records.get(leaf.path)
-            if record is None or record.how is How.FAILED:
+            if record is None or record.how is StepOutcome.FAILED:
                 self.waiting.append(leaf)
             else:
                 await self._take_end(leaf, record)
@@ -170,7 +170,7 @@
 
     async def _record(self, leaf: Leaf, record: records.StepRecord, results: list[dict[str, Any]]) -> None:
         packed = msgspec.json.encode(results)
-        if len(packed) <= constants.FLOW_INLINE_BYTES:
+        if len(packed) <= constants.FLOW_INLINE_OUTPUT_MAX_BYTES:
             record.results = results
         else:
             record.digest = await self.leader.files.put(packed)
@@ -217,12 +217,12 @@
 
     async def _launch(self, leaf: Leaf) -> None:
         assert self.engine is not None
-        if len(leaf.path.encode()) > constants.FLOW_PATH_BYTES:
-            raise FlowError(f"{leaf.path[:60]}…: a path of more than {constants.FLOW_PATH_BYTES} bytes")
+        if len(leaf.path.encode()) > constants.FLOW_STEP_PATH_MAX_BYTES:
+            raise FlowError(f"{leaf.path[:60]}…: a path of more than {constants.FLOW_STEP_PATH_MAX_BYTES} bytes")
         process = self.engine.plan.processes[leaf.process]
         if isinstance(process, Expression):
             results = self.engine.evaluate(leaf)
-            await self._record(leaf, records.StepRecord(leaf.path, How.DONE, wall_time()), results)
+            await self._record(leaf, records.StepRecord(leaf.path, StepOutcome.DONE, wall_time()), results)
             return
         assert isinstance(process, Tool)
         key = key_of(self.engine, leaf)
@@ -291,9 +291,11 @@
             for content in {d: b for made in part.made for d, b in made.blobs.items()}.values():
                 await leader.files.put(content)
             works = [made.work for made in part.made]
-            for page in range(0, len(works), constants.FLOW_PAGE):
+            for page in range(0, len(works), constants.FLOW_TASKS_PER_UPLOAD_MAX):
                 await leader.files.describe(
-                    part.ref, page // constants.FLOW_PAGE, works[page : page + constants.FLOW_PAGE]
+                    part.ref,
+                    page // constants.FLOW_TASKS_PER_UPLOAD_MAX,
+                    works[page : page + constants.FLOW_TASKS_PER_UPLOAD_MAX],
                 )
             leader.near(part.ref, near or None)
             record = job_records.new_record(spec, now)
@@ -341,7 +343,7 @@
                 machines.add(items[number].found.machine)
         record = records.StepRecord(
             found.leaf.path,
-            How.DONE,
+            StepOutcome.DONE,
             wall_time(),
             found.key,
             machines=sorted(machines)[:20],
@@ -350,7 +352,7 @@
         )
         await self._record(found.leaf, record, results)
 
-    async def _collect(self, found: Open, place: int, item: FoundItem) -> dict[str, Any]:
+    async def _collect(self, found: Open, place: int, item: TaskResultItem) -> dict[str, Any]:
         assert self.engine is not None
         if place % 20 == 19:
             await asyncio.sleep(0)
@@ -366,16 +368,18 @@
         if monotonic_time() < found.look_at:
             return
         found.look_at = monotonic_time() + 1.0
-        by_task: dict[int, dict[str, FoundItem]] = {}
+        by_task: dict[int, dict[str, TaskResultItem]] = {}
         for item in await self.leader.files.found(part.ref, failed=True):
             by_task.setdefault(item.number, {})[item.found.machine] = item
         for number, machines in by_task.items():
-            if len(machines) >= constants.FLOW_FAILED_ON:
+            if len(machines) >= constants.FLOW_STEP_FAILED_MACHINES:
                 last = list(machines.values())[-1].found
                 leaf, place = found.leaf, part.places[number]
                 where = leaf.path if leaf.node.shape is None else f"{leaf.path}[{leaf.node.places[place]}]"
                 why = last.why or f"exit code {last.code}"
-                record = records.StepRecord(leaf.path, How.FAILED, wall_time(), jobs=[part.ref], tasks=len(part.places))
+                record = records.StepRecord(
+                    leaf.path, StepOutcome.FAILED, wall_time(), jobs=[part.ref], tasks=len(part.places)
+                )
                 await self._commit([state_messages.Put(records.step_key(self.ref, leaf.path), record)])
                 raise StepFailed(f"{where}: {why} on {len(machines)} machines", last.errors)
 
--- a/winglift/flows/service.py
+++ b/winglift/flows/service.py
@@ -17,8 +17,8 @@
 from ..store.client import OutcomeUnknown, RequestRejected, StateClient
 from ..wire import flows as flow_messages
 from ..wire import state as state_messages
-from ..wire.flows import FlowReply, FlowState, FlowSubmission, How, StepReply
-from ..wire.users import Invalid, JobStatus
+from ..wire.flows import FlowReply, FlowState, FlowSubmission, StepOutcome, StepReply
+from ..wire.users import InvalidMessage, JobStatus
 from . import records
 from .driver import Driver
 from .expressions import Engines
@@ -59,11 +59,11 @@
         args = {"node": self.node, "flows": self}
         return [(r"/flows", Submit, args), (r"/flows/([^/]*)", Status, args), (r"/flows/([^/]*)/abort", Cancel, args)]
 
-    def lead(self, controller: LeaderTerm) -> None:
+    def on_leadership_gained(self, controller: LeaderTerm) -> None:
         self.driver = Driver(controller, self.jobs, self.files, self.engines, self.settings)
         controller.garbage_collector.sweepers.append(OldSteps(controller.state))
 
-    def follow(self) -> None:
+    def on_leadership_lost(self) -> None:
         if self.driver is not None:
             self.driver.stop()
             self.driver = None
@@ -95,9 +95,9 @@
                 await self._graph(sub.plan)
                 await self.files.get(sub.order)
             except Missing as err:
-                raise Invalid(f"plan, order: {err}") from None
+                raise InvalidMessage(f"plan, order: {err}") from None
             except FlowError as err:
-                raise Invalid(f"plan: {err}") from None
+                raise InvalidMessage(f"plan: {err}") from None
             except FilesError as err:
                 raise TemporarilyUnavailable(str(err)) from None
             if sub.reuse is not None:
@@ -135,11 +135,13 @@
             nodes = await self._graph(head.sub.plan)
         except (RequestRejected, OutcomeUnknown, FilesError) as err:
             raise TemporarilyUnavailable(str(err)) from None
-        except (Invalid, FlowError):
+        except (InvalidMessage, FlowError):
             return records.reply(head)
         ended = [records.decode_step(item.value) for item in items]
         over = {plain(r.path) for r in ended}
-        steps = [StepReply(r.path, r.how.value, r.tasks, r.tasks if r.how is How.DONE else 0, r.jobs) for r in ended]
+        steps = [
+            StepReply(r.path, r.how.value, r.tasks, r.tasks if r.how is StepOutcome.DONE else 0, r.jobs) for r in ended
+        ]
         steps += [
             StepReply(path, "skipped" if head.state is FlowState.DONE else "waiting", 0)
             for path in nodes
@@ -147,7 +149,7 @@
         ]
         order = {path: number for number, path in enumerate(nodes)}
         steps.sort(key=lambda s: (order.get(plain(s.path), 0), s.path))
-        page = steps[start : start + constants.FLOW_STEPS_SHOWN]
+        page = steps[start : start + constants.FLOW_STEPS_PER_PAGE_MAX]
         if head.state is FlowState.OPEN:
             page = [
                 (await self._open(ref, s.path) or s) if s.state == "waiting" and nodes[s.path].parents <= over else s
@@ -172,13 +174,13 @@
         except (RequestRejected, OutcomeUnknown) as err:
             raise TemporarilyUnavailable(str(err)) from None
         later = [i for i in items if i.key > records.HEAD + after]
-        found = [records.reply(records.decode_head(i.value)) for i in later[: constants.FLOW_LISTED]]
-        return flow_messages.FlowList(found, len(later) > constants.FLOW_LISTED, self.settings.files)
+        found = [records.reply(records.decode_head(i.value)) for i in later[: constants.FLOWS_PER_PAGE_MAX]]
+        return flow_messages.FlowList(found, len(later) > constants.FLOWS_PER_PAGE_MAX, self.settings.files)
 
     async def cancel(self, ref: str) -> FlowReply | None:
         """Answered once it is committed (invariant 4). From then on nothing of it is submitted; the leader cancels the
         jobs that are open."""
-        for _ in range(constants.CANCEL_TRIES):
+        for _ in range(constants.CANCELLATION_ATTEMPTS_MAX):
             known = await self._head(ref)
             if known is None:
                 return None
@@ -214,8 +216,8 @@
             self.refuse(409, str(err))
 
     def flow(self, text: str) -> str:
-        if not flow_messages.is_flow(text):
-            raise Invalid("ref: expected the form fl-000412")
+        if not flow_messages.is_flow_ref(text):
+            raise InvalidMessage("ref: expected the form fl-000412")
         return text
 
 
@@ -238,7 +240,7 @@
         async def ask() -> tuple[int, object]:
             start = self.get_query_argument("steps", "0")
             if start != "no" and not (start.isascii() and start.isdigit() and len(start) < 10):
-                raise Invalid("steps: expected a number, or no")
+                raise InvalidMessage("steps: expected a number, or no")
             return 200, await self.flows.status(self.flow(text), None if start == "no" else int(start))
 
         await self.answer(ask)
--- a/winglift/flows/settings.py
+++ b/winglift/flows/settings.py
@@ -11,15 +11,15 @@
 
 
 class Expressions(msgspec.Struct, frozen=True):
-    time_s: float = constants.EXPRESSION_S
-    memory_mb: float = constants.EXPRESSION_MB
+    time_s: float = constants.EXPRESSION_CPU_TIMEOUT_S
+    memory_mb: float = constants.EXPRESSION_MEMORY_MAX_MB
 
 
 class FlowSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """`files`: address of the store of uploads."""
 
     files: str
-    open_jobs: int = constants.FLOW_OPEN_JOBS
+    open_jobs: int = constants.FLOW_OPEN_JOBS_MAX
     expressions: Expressions = Expressions()
 
 
--- a/winglift/flows/sweep.py
+++ b/winglift/flows/sweep.py
@@ -30,7 +30,7 @@
             except records.InvalidRecord:
                 continue  # not written by this program: left alone
             over = head.state is FlowState.DONE or head.tidy
-            if not over or head.swept or now - head.submitted < constants.GC_FLOW_STEPS_AGE_S:
+            if not over or head.swept or now - head.submitted < constants.GC_FLOW_STEP_RETENTION_S:
                 continue
             found += await self._steps(item, head, most, now)
             if len(found) >= constants.GC_REMOVALS_MAX:
@@ -43,7 +43,7 @@
         steps, _ = await self.state.list(records.step_prefix(ref))
         for step in steps:
             try:
-                if now - records.decode_step(step.value).ended < constants.GC_FLOW_STEPS_AGE_S:
+                if now - records.decode_step(step.value).ended < constants.GC_FLOW_STEP_RETENTION_S:
                     return []
             except records.InvalidRecord:
                 return []
--- a/winglift/model/failure_attribution.py
+++ b/winglift/model/failure_attribution.py
@@ -15,7 +15,9 @@
 def job_is_sound(job: Job, now: float) -> bool:
     """Whether the job has shown that it can run: by a task that completed, or by one that has run for long."""
     return job.has_completed_task or any(
-        t.state is TaskState.RUNNING and t.running_since is not None and now - t.running_since >= constants.SOUND_RUN_S
+        t.state is TaskState.RUNNING
+        and t.running_since is not None
+        and now - t.running_since >= constants.SOUND_JOB_RUN_MIN_S
         for t in job.active.values()
     )
 
@@ -62,5 +64,5 @@
 
 def retry_delay_s(job: Job, now: float) -> float:
     """The backoff in s after the job's latest round of failures."""
-    longest_s = constants.BACKOFF_SUSPECT_S if job_is_suspect(job, now) else constants.BACKOFF_MAX_S
-    return min(longest_s, constants.BACKOFF_FIRST_S * 2 ** min(job.failed_rounds, 10))
+    longest_s = constants.SUSPECT_JOB_BACKOFF_MAX_S if job_is_suspect(job, now) else constants.START_BACKOFF_MAX_S
+    return min(longest_s, constants.START_BACKOFF_INITIAL_S * 2 ** min(job.failed_rounds, 10))
--- a/winglift/model/leadership.py
+++ b/winglift/model/leadership.py
@@ -60,7 +60,7 @@
     def extend_lease(self, sent_at: float, ttl_s: float) -> None:
         """Extend the lease by `ttl_s`, counted from when the renewal was *sent*, by a clock that may be slow."""
         self.valid_until = max(
-            self.valid_until, sent_at + ttl_s * (1 - 2 * constants.CLOCK_DRIFT) - constants.LEADER_MARGIN_S
+            self.valid_until, sent_at + ttl_s * (1 - 2 * constants.CLOCK_DRIFT) - constants.LEADER_LEASE_MARGIN_S
         )
 
     def entitled(self, now: float) -> bool:
--- a/winglift/policy/plan.py
+++ b/winglift/policy/plan.py
@@ -131,7 +131,7 @@
 
     def _fetch_too_long(self, capacity: FreeCapacity) -> bool:
         """Whether a task that is due now would fetch its image for long there."""
-        return self.demand.spec.due_s is None and fetch_s(capacity, self.demand.spec) > constants.FETCH_WORTH_S
+        return self.demand.spec.due_s is None and fetch_s(capacity, self.demand.spec) > constants.LONG_FETCH_MIN_S
 
     def place(self, index: int, must_start: bool) -> bool:
         """Place one task. False if it was not placed and the demand's other tasks would not be either."""
@@ -282,10 +282,10 @@
     tried = 0
     for capacity in _consolidation_candidates(placement):
         capacity.inspect()
-        if any(replica.ran_s < constants.MIGRATION_AFTER_S for replica in capacity.movable_replicas):
+        if any(replica.ran_s < constants.MIGRATION_RUN_MIN_S for replica in capacity.movable_replicas):
             continue
         tried += 1
-        if tried > constants.MIGRATION_CANDIDATES:
+        if tried > constants.MIGRATION_CANDIDATES_MAX:
             return None
         taken = allocate_elsewhere(
             placement,
@@ -322,7 +322,7 @@
         ).preempt_cheapest(demand.zones)
         if capacity is not None:
             capacity.allocate(demand.spec)
-            placement.plan.image_restarts.append(ReplicaRef(demand.ref, stalled.index))
+            placement.plan.restarts_near_image.append(ReplicaRef(demand.ref, stalled.index))
 
 
 def make_plan(snapshot: Snapshot) -> Plan:
--- a/winglift/policy/preemption.py
+++ b/winglift/policy/preemption.py
@@ -214,7 +214,7 @@
         if not chosen:
             return None
         # A fetch makes production work late; others it costs no more than the time itself.
-        fetch = fetch_s(capacity, demand.spec) * (constants.FETCH_WEIGHT if demand.spec.due_s is None else 1.0)
+        fetch = fetch_s(capacity, demand.spec) * (constants.FETCH_COST_RATIO if demand.spec.due_s is None else 1.0)
         cost = (
             max(victim.precedence for victim in chosen),
             sum(victim.lost_work_s * victim.gang_size for victim in chosen) + fetch,
--- a/winglift/policy/reservation.py
+++ b/winglift/policy/reservation.py
@@ -46,7 +46,7 @@
     No job may wait for 90 s while reserved capacity is free: what was not used in time goes to any demand, and is then
     reserved anew.
     """
-    held_s = demand.waited_s - constants.START_DEADLINE_S * constants.RESERVATION_AFTER_SHARE
+    held_s = demand.waited_s - constants.START_DEADLINE_S * constants.RESERVATION_DELAY_SHARE
     return held_s % (constants.RESERVATION_MAX_S + constants.RESERVATION_PAUSE_S) >= constants.RESERVATION_MAX_S
 
 
--- a/winglift/policy/snapshot.py
+++ b/winglift/policy/snapshot.py
@@ -93,7 +93,7 @@
     releasing_cpus: float = 0.0  # resources of tasks being stopped
     releasing_gpus: float = 0.0
     releasing_memory_gb: float = 0.0
-    without_controller: bool = False  # its zone has no node: in a partition, what runs there dies with its lease
+    zone_lacks_controller: bool = False  # its zone has no node: in a partition, what runs there dies with its lease
     # The job it is reserved for: only work of higher priority is placed on it meanwhile.
     reserved_for: str = ""
     reserved_rank: int = 0  # its priority
@@ -247,7 +247,7 @@
     def start_overdue(self) -> bool:
         """Whether nothing of it has begun though it has waited for much of START_DEADLINE_S."""
         return (
-            self.waited_s > constants.START_DEADLINE_S * constants.RESERVATION_AFTER_SHARE
+            self.waited_s > constants.START_DEADLINE_S * constants.RESERVATION_DELAY_SHARE
             and not self.is_probe
             and not any(self.zones.values())
         )
@@ -309,11 +309,11 @@
     unreachable_zones: frozenset[str] = frozenset()  # partitioned zones: what is rented there could not be reached
     may_rent: bool = True
     may_migrate: bool = True  # replicas may be moved off a nearly empty machine now
-    slack_pad: float = constants.SLACK_PAD
+    slack_pad: float = constants.SLACK_PADDING_RATIO
     stopping_gpus: dict[str, float] = field(default_factory=dict)  # per team, of tasks being stopped
     stopping_cpus: dict[str, float] = field(default_factory=dict)
 
-    def without_controller(self, zone: str) -> bool:
+    def zone_lacks_controller(self, zone: str) -> bool:
         """Is the zone without a controller node?"""
         return self.zones_with_controllers is not None and zone not in self.zones_with_controllers
 
@@ -355,7 +355,7 @@
     stops: list[TaskStop] = field(default_factory=list)
     # Gang: the machines reserved for it while preempted tasks stop.
     reservations: dict[str, list[str]] = field(default_factory=dict)
-    image_restarts: list[ReplicaRef] = field(default_factory=list)  # to be started beside their image
+    restarts_near_image: list[ReplicaRef] = field(default_factory=list)  # to be started beside their image
     # Replicas that must move for a gang to start.
     migrations: list[ReplicaRef] = field(default_factory=list)
     rentals: list[Rental] = field(default_factory=list)
--- a/winglift/policy/zone_reachability.py
+++ b/winglift/policy/zone_reachability.py
@@ -28,13 +28,13 @@
 
     last_contact: float = 0.0  # of the machine heard last
     booted: CountPerZone = field(default_factory=dict)
-    quiet: CountPerZone = field(default_factory=dict)  # silent for ZONE_QUIET_REPORTS report intervals
-    silent: CountPerZone = field(default_factory=dict)  # silent for ZONE_SILENT_REPORTS report intervals
+    quiet: CountPerZone = field(default_factory=dict)  # silent for ZONE_LATE_REPORT_RATIO report intervals
+    silent: CountPerZone = field(default_factory=dict)  # silent for ZONE_SILENT_REPORT_RATIO report intervals
     any_unresponsive: bool = False
 
     def leader_is_isolated(self, now: float) -> bool:
         """Whether no machine at all has been heard for so long that this node may be the one partitioned."""
-        return sum(self.booted.values()) >= 2 and now - self.last_contact > constants.LEADER_ISOLATED_S
+        return sum(self.booted.values()) >= 2 and now - self.last_contact > constants.LEADER_ISOLATION_TIMEOUT_S
 
 
 def count_silence(machines: Iterable[Machine], now: float, report_s: float) -> SilenceCounts:
@@ -44,8 +44,8 @@
     """
     counts = SilenceCounts()
     booted, quiet, silent = counts.booted, counts.quiet, counts.silent
-    quiet_before = now - constants.ZONE_QUIET_REPORTS * report_s
-    silent_before = now - constants.ZONE_SILENT_REPORTS * report_s
+    quiet_before = now - constants.ZONE_LATE_REPORT_RATIO * report_s
+    silent_before = now - constants.ZONE_SILENT_REPORT_RATIO * report_s
     latest = 0.0
     for machine in machines:
         if machine.state is MachineState.BOOTING:
@@ -79,11 +79,11 @@
         self._first_update: float | None = None
 
     def recently_unreachable(self, zone: str, now: float) -> bool:
-        """Whether the zone is unreachable, or was within PARTITION_MEMORY_S."""
+        """Whether the zone is unreachable, or was within PARTITION_RECOVERY_S."""
         return now < self._unreachable_until.get(zone, 0.0)
 
     def suspected(self, zone: str, now: float) -> bool:
-        """Whether most of the zone's machines had missed a report within SUSPICION_MEMORY_S."""
+        """Whether most of the zone's machines had missed a report within ZONE_SUSPICION_TIMEOUT_S."""
         return now < self._suspected_until.get(zone, 0.0)
 
     def update(self, machines: list[Machine], counts: SilenceCounts, now: float) -> None:
@@ -97,15 +97,15 @@
         """Most machines of an unreachable zone are silent.
 
         When a partition ends, a zone's machines come back one by one. Those still silent were once deleted then, nine
-        machines at a time: the zone is remembered for PARTITION_MEMORY_S.
+        machines at a time: the zone is remembered for PARTITION_RECOVERY_S.
         """
         self.unreachable_zones = frozenset(
             zone
             for zone, count in counts.silent.items()
-            if count > max(1.0, constants.ZONE_SILENT_PART * counts.booted[zone])
+            if count > max(1.0, constants.ZONE_SILENT_MACHINES_SHARE * counts.booted[zone])
         )
         for zone in self.unreachable_zones:
-            self._unreachable_until[zone] = now + constants.PARTITION_MEMORY_S
+            self._unreachable_until[zone] = now + constants.PARTITION_RECOVERY_S
 
     def _update_suspected_zones(self, counts: SilenceCounts, now: float) -> None:
         """Most machines of a suspected zone have missed a report.
@@ -114,8 +114,8 @@
         And after a partition between a leader and all workers the last ones to find another node looked like it.
         """
         for zone, count in counts.quiet.items():
-            if count > max(1.0, constants.ZONE_SILENT_PART * counts.booted[zone]):
-                self._suspected_until[zone] = now + constants.SUSPICION_MEMORY_S
+            if count > max(1.0, constants.ZONE_SILENT_MACHINES_SHARE * counts.booted[zone]):
+                self._suspected_until[zone] = now + constants.ZONE_SUSPICION_TIMEOUT_S
 
     def _update_asymmetric_zones(self, machines: list[Machine]) -> None:
         """So many machines of an asymmetric zone are unresponsive that this node is probably the one not heard."""
@@ -141,7 +141,7 @@
         """
         if self._first_update is None:
             self._first_update = now
-        if now - self._first_update > constants.ZONE_SILENT_REPORTS * self.workers.report_s:
+        if now - self._first_update > constants.ZONE_SILENT_REPORT_RATIO * self.workers.report_s:
             self.unheard_zones, self.nothing_heard_yet = frozenset(), False
             return
         heard = {machine.zone for machine in self.cluster.machines.values() if machine.last_heard is not None}
--- a/winglift/store/batcher.py
+++ b/winglift/store/batcher.py
@@ -34,7 +34,7 @@
 REREAD_AGAIN_S = 0.3  # between two attempts to read a record whose state is in question
 
 
-def pack(job: Job) -> records.JobRecord:
+def build_job_record(job: Job) -> records.JobRecord:
     """The record of a job in its present state."""
     first_open, done_bitmap = records.pack_done(job.done)
     state = JobState.DONE if job.state is JobState.ENDING else job.state
@@ -77,8 +77,8 @@
         self.most_bytes = int(limits.value_kb * 1024)
 
     def fits(self, job: Job) -> bool:
-        """Does the job's record fit into one value of the state service, beside RECORD_SPARE_BYTES?"""
-        return len(msgspec.json.encode(pack(job))) <= self.most_bytes - constants.RECORD_SPARE_BYTES
+        """Does the job's record fit into one value of the state service, beside RECORD_HEADROOM_BYTES?"""
+        return len(msgspec.json.encode(build_job_record(job))) <= self.most_bytes - constants.RECORD_HEADROOM_BYTES
 
     def flush(self) -> None:
         """Start as many transactions as changes, parallel slots and write budget allow, urgent changes first.
@@ -91,20 +91,20 @@
             self._timer = None
         # In an outage one transaction at a time is the probe; packing hundreds of records for each rejection took
         # a tenth of a core.
-        parallel = constants.COMMIT_PARALLEL if self.state.health() is Health.GOOD else 1
+        parallel = constants.CONCURRENT_TRANSACTIONS_MAX if self.state.health() is Health.GOOD else 1
         if self.fence_lost or len(self._running) >= parallel:
             return
-        free = self.state.writes_free()
+        free = self.state.available_writes()
         due, more_waiting = self._due(free, monotonic_time())
         while due and free >= 1 and len(self._running) < parallel:
             free -= self._send(due, min(self.most_ops, free))
         if due or more_waiting:
-            self.flush_soon()
+            self.schedule_flush()
 
-    def flush_soon(self) -> None:
-        """Schedule a flush FLUSH_AGAIN_S from now, without waiting for the next cycle."""
+    def schedule_flush(self) -> None:
+        """Schedule a flush FLUSH_RETRY_DELAY_S from now, without waiting for the next cycle."""
         if self._timer is None and not self.fence_lost:
-            self._timer = asyncio.get_running_loop().call_later(constants.FLUSH_AGAIN_S, self.flush)
+            self._timer = asyncio.get_running_loop().call_later(constants.FLUSH_RETRY_DELAY_S, self.flush)
 
     def _due(self, free: int, now: float) -> tuple[list[Job], bool]:
         """The jobs to be written now, most urgent first, and whether changes that are not urgent wait."""
@@ -114,11 +114,11 @@
         deferrable = [job for job in dirty if job.pending_write > WritePriority.START]
         waiting = {job.ref: self._waiting_since.get(job.ref, now) for job in deferrable}
         self._waiting_since = waiting
-        spare = free - len(due) - int(self.limits.write_rps * constants.START_WRITES_KEPT)
-        late = [job for job in deferrable if now - waiting[job.ref] >= constants.PROGRESS_AFTER_S]
+        spare = free - len(due) - int(self.limits.write_rps * constants.PROGRESS_SPARE_WRITES_SHARE)
+        late = [job for job in deferrable if now - waiting[job.ref] >= constants.PROGRESS_WRITE_DELAY_S]
         late.sort(key=lambda job: waiting[job.ref])
-        # A change that has waited for PROGRESS_DELAY_MAX_S is due like a start, however small the budget is.
-        overdue = sum(now - waiting[job.ref] >= constants.PROGRESS_DELAY_MAX_S for job in late)
+        # A change that has waited for PROGRESS_WRITE_DELAY_MAX_S is due like a start, however small the budget is.
+        overdue = sum(now - waiting[job.ref] >= constants.PROGRESS_WRITE_DELAY_MAX_S for job in late)
         return due + late[: max(overdue, spare)], bool(waiting)
 
     def _send(self, due: list[Job], most: int) -> int:
@@ -144,7 +144,7 @@
         size = 0
         while due and len(batch) < most:
             job = due[0]
-            record = pack(job)
+            record = build_job_record(job)
             length = len(msgspec.json.encode(record))
             if batch and size + length > MAX_TXN:
                 break
@@ -171,7 +171,7 @@
         except (RequestRejected, LeaseExpired) as err:
             self._shrink_if_invalid(batch, err)
             self._mark_for_retry(batch)
-            await asyncio.sleep(constants.WRITE_AGAIN_S)
+            await asyncio.sleep(constants.WRITE_RETRY_DELAY_S)
         except OutcomeUnknown as err:
             # The transaction may have been executed or may yet be: read the records before deciding anything else.
             log.info("job records: outcome of a write unknown, reading again: error=%s", err)
@@ -247,7 +247,7 @@
             self._timer = None
         self.fence_lost = True
 
-    def reject(self, job: Job, now: float, keep: int) -> None:
+    def reject_proposals(self, job: Job, now: float, keep: int) -> None:
         """Reject all but the first `keep` proposed tasks of a job: the others would not fit into its record."""
         proposed = [task for task in job.active.values() if task.state is TaskState.PROPOSED]
         for task in proposed[keep:]:
--- a/winglift/store/election.py
+++ b/winglift/store/election.py
@@ -57,7 +57,7 @@
                 log.debug("election: request failed: error=%s", err)
                 if self.leadership.role is Role.CAMPAIGNING:
                     self.leadership.move(RoleEvent.LOST)
-                await asyncio.sleep(constants.CAMPAIGN_POLL_S)
+                await asyncio.sleep(constants.CAMPAIGN_POLL_INTERVAL_S)
 
     # -- leading -------------------------------------------------------------------------------
 
@@ -79,7 +79,7 @@
             if self.leadership.role is Role.DOUBTFUL:
                 log.info("election: leading again, lease renewed: term=%d", self.leadership.term)
             self.leadership.move(RoleEvent.RENEWED)
-        await asyncio.sleep(max(RENEWAL_PAUSE_MIN_S, constants.LEADER_RENEW_S - (monotonic_time() - sent)))
+        await asyncio.sleep(max(RENEWAL_PAUSE_MIN_S, constants.LEADER_RENEWAL_INTERVAL_S - (monotonic_time() - sent)))
 
     def check_lease(self) -> None:
         """Mark this node's leadership as doubtful once its lease may have expired by this node's clock."""
@@ -99,7 +99,7 @@
     async def resign(self, why: str) -> None:
         """Hand over: revoke the lease at once and let the other nodes campaign first."""
         lease = self.leadership.lease
-        self._pause_until = monotonic_time() + constants.RESIGN_PAUSE_S
+        self._pause_until = monotonic_time() + constants.RESIGNATION_BACKOFF_S
         self.step_down(why)
         try:
             await self.state.revoke_lease(lease)
@@ -108,7 +108,7 @@
 
     # -- following -----------------------------------------------------------------------------
 
-    async def expire_lease_of(self, node: str) -> None:
+    async def revoke_lease_of(self, node: str) -> None:
         """Revoke the lease of a leader whose process seems to have ended, so that another node can lead at once.
 
         A mistake costs a change of the leader and nothing else: what a leader without its key decides can't be
@@ -147,7 +147,9 @@
             await self._campaign()
             return
         try:
-            async with asyncio.timeout(constants.CAMPAIGN_POLL_S + self._rng.random() * constants.CAMPAIGN_JITTER_S):
+            async with asyncio.timeout(
+                constants.CAMPAIGN_POLL_INTERVAL_S + self._rng.random() * constants.CAMPAIGN_JITTER_MAX_S
+            ):
                 await self.campaign_requested.wait()
         except TimeoutError:
             pass
@@ -173,7 +175,7 @@
         revision = await self._commit_leadership(txn, term, lease)
         if not revision:
             self.leadership.move(RoleEvent.LOST)
-            await asyncio.sleep(self._rng.random() * constants.CAMPAIGN_JITTER_S)
+            await asyncio.sleep(self._rng.random() * constants.CAMPAIGN_JITTER_MAX_S)
             return
         self._become_leader(term, lease, revision, sent)
 
--- a/winglift/store/read_cache.py
+++ b/winglift/store/read_cache.py
@@ -56,7 +56,7 @@
         self._on_record(ref, version, record)
         self._known[ref] = version, digest
         self._known.move_to_end(ref)
-        while len(self._known) > constants.READ_CACHE_RECORDS:
+        while len(self._known) > constants.READ_CACHE_RECORDS_MAX:
             self._known.popitem(last=False)
         return digest
 
@@ -71,13 +71,13 @@
             known = self._known.get(ref)
             # A process that was paused between the refresh and this line would answer with an old state: another node
             # may have given the user a newer one meanwhile.
-            if monotonic_time() - self._last_done > constants.REFRESH_VALID_S:
+            if monotonic_time() - self._last_done > constants.REFRESH_MAX_AGE_S:
                 raise RequestRejected("this node stood still")
             if known is not None:
                 return known[1]
         sent = monotonic_time()
         item = await self.state.get(records.JOB_PREFIX + ref, timeout=constants.STATUS_TIMEOUT_S)
-        if monotonic_time() - sent > constants.STATUS_TIMEOUT_S + constants.REFRESH_VALID_S:
+        if monotonic_time() - sent > constants.STATUS_TIMEOUT_S + constants.REFRESH_MAX_AGE_S:
             raise RequestRejected("this node stood still")
         return None if item is None else self.add_record(ref, item.version, records.decode(item.value))
 
--- a/winglift/wire/peer.py
+++ b/winglift/wire/peer.py
@@ -53,12 +53,12 @@
 
     term: int
     leads: bool
-    state_ok: bool
+    state_service_ok: bool
     node: str
 
 
 @dataclass(frozen=True, slots=True)
-class JobNote:
+class RecordAnnouncement:
     """A committed job record, sent to another node."""
 
     version: int
@@ -85,14 +85,14 @@
 
 def pack_state(state: PeerState) -> bytes:
     """Encode the body of a PEER_STATE frame."""
-    return _STATE.pack(state.term, state.leads, state.state_ok) + state.node.encode()
+    return _STATE.pack(state.term, state.leads, state.state_service_ok) + state.node.encode()
 
 
 def parse_state(body: bytes) -> PeerState:
     """Decode the body of a PEER_STATE frame. Raises BadFrame."""
     try:
-        term, leads, state_ok = _STATE.unpack_from(body)
-        return PeerState(term, bool(leads), bool(state_ok), body[_STATE.size :].decode())
+        term, leads, state_service_ok = _STATE.unpack_from(body)
+        return PeerState(term, bool(leads), bool(state_service_ok), body[_STATE.size :].decode())
     except (struct.error, UnicodeDecodeError):
         raise BadFrame("bad state frame") from None
 
@@ -111,14 +111,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
+class FleetSummary:
     """A leader's soft state about machines: images per machine (GB each), and seconds of silence of silent machines."""
 
     images: dict[str, dict[str, float]]
     silent: dict[str, float]
 
 
-def pack_fleet(fleet: Fleet, most: int = MAX_FRAME) -> tuple[bytes, int]:
+def pack_fleet(fleet: FleetSummary, most: int = MAX_FRAME) -> tuple[bytes, int]:
     """Encode the body of a FLEET_SUMMARY frame of at most `most` bytes.
 
     Returns the body and the number of machines whose images did not fit. Silence is included for all machines, since
@@ -143,7 +143,7 @@
     return b"".join([_COUNT.pack(len(images)), *images, *silent]), len(fleet.images) - len(images)
 
 
-def parse_fleet(body: bytes) -> Fleet:
+def parse_fleet(body: bytes) -> FleetSummary:
     """Decode the body of a FLEET_SUMMARY frame. Raises BadFrame."""
     images: dict[str, dict[str, float]] = {}
     silent: dict[str, float] = {}
@@ -167,7 +167,7 @@
             offset += _SIZE.size
     except (struct.error, UnicodeDecodeError):
         raise BadFrame("bad fleet frame") from None
-    return Fleet(images, silent)
+    return FleetSummary(images, silent)
 
 
 def _pack_text(text: str) -> bytes:
@@ -206,19 +206,19 @@
     return proofs
 
 
-def pack_job(note: JobNote) -> bytes:
+def pack_job(note: RecordAnnouncement) -> bytes:
     """Encode the body of a JOB_RECORD frame."""
     ref = note.ref.encode()
     return _JOB.pack(note.version, len(ref)) + ref + note.record
 
 
-def parse_job(body: bytes) -> JobNote:
+def parse_job(body: bytes) -> RecordAnnouncement:
     """Decode the body of a JOB_RECORD frame. Raises BadFrame."""
     try:
         version, size = _JOB.unpack_from(body)
         ref = body[_JOB.size : _JOB.size + size]
         if len(ref) != size:
             raise BadFrame("bad job frame")
-        return JobNote(version, ref.decode(), body[_JOB.size + size :])
+        return RecordAnnouncement(version, ref.decode(), body[_JOB.size + size :])
     except (struct.error, UnicodeDecodeError):
         raise BadFrame("bad job frame") from None
--- a/winglift/workers/cancellation_enforcement.py
+++ b/winglift/workers/cancellation_enforcement.py
@@ -52,13 +52,13 @@
     def known_term(self) -> int:
         """The highest term that this node knows of."""
 
-    def leader_by_record(self) -> str:
+    def recorded_leader_name(self) -> str:
         """The leader by the state service's record, as this node has last read it; empty: none."""
 
     def handles_cancellation(self, ref: str) -> bool:
         """Whether this node leads, can act, and has the cancellation in its cluster state."""
 
-    def has_cleared_job(self, ref: str) -> bool:
+    def has_stopped_all_tasks(self, ref: str) -> bool:
         """Whether this node, as a leader that can act, has proven all tasks of the job off."""
 
     def on_machines_deleted(self, machines: list[str]) -> None:
@@ -84,7 +84,9 @@
         params = node.settings.settings
         cancel_s = params.workers.cancel_s
         self.cancellations = CancellationRegistry(
-            params.skew_ms / 1000, cancel_s, int(params.state.write_rps * cancel_s * constants.CANCELLATION_KEPT_SHARE)
+            params.skew_ms / 1000,
+            cancel_s,
+            int(params.state.write_rps * cancel_s * constants.CANCELLATION_HISTORY_RATIO),
         )
         self.contacts: dict[str, MachineContact] = {}
         self._commanding: dict[str, asyncio.Task] = {}
@@ -136,18 +138,18 @@
             commanded_at = contact.commanded_at if contact is not None else -math.inf
             self.contacts[report.machine] = MachineContact(report.addr, report.session, now, commanded_at)
         if now >= self._next_sweep:
-            self._next_sweep = now + constants.CONTACT_KEPT_S / 4
+            self._next_sweep = now + constants.MACHINE_ADDRESS_TTL_S / 4
             self.contacts = {
                 name: contact
                 for name, contact in self.contacts.items()
-                if now - contact.reported_at < constants.CONTACT_KEPT_S
+                if now - contact.reported_at < constants.MACHINE_ADDRESS_TTL_S
             }
         return self.cancellations.on_report(report, now)
 
     # -- enforcement ---------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Check the cancellations every CANCELLATION_CHECK_S, for as long as this node runs."""
+        """Check the cancellations every CANCELLATION_CHECK_INTERVAL_S, for as long as this node runs."""
         while True:
             if not self.cancellations.by_job:
                 self._wake.clear()
@@ -157,7 +159,7 @@
             except Exception:
                 # One cancellation that can't be enforced must not keep the others waiting.
                 log.exception("cancellations: fault in enforcing them")
-            await asyncio.sleep(constants.CANCELLATION_CHECK_S)
+            await asyncio.sleep(constants.CANCELLATION_CHECK_INTERVAL_S)
 
     async def _check(self, now: float, wall: float) -> None:
         for cancellation in list(self.cancellations.by_job.values()):
@@ -166,7 +168,7 @@
         self._send_stops(now)
         machines = self._machines_to_delete(now, wall)
         if machines and (self._deleting is None or self._deleting.done()):
-            self._deleting = asyncio.ensure_future(self._delete(machines[: constants.DELETE_MAX]))
+            self._deleting = asyncio.ensure_future(self._delete(machines[: constants.MACHINES_PER_DELETION_MAX]))
         proofs, self.cancellations.unsent_proofs = self.cancellations.unsent_proofs, []
         self.node.peers.announce_proofs(proofs)
         self.cancellations.prune(now)
@@ -174,7 +176,7 @@
 
     def _announce_or_clear(self, cancellation: Cancellation, now: float) -> None:
         self._announce(cancellation, now)
-        if self.node.has_cleared_job(cancellation.ref):
+        if self.node.has_stopped_all_tasks(cancellation.ref):
             self.cancellations.clear_job(cancellation.ref, now)
         elif self._is_delegated(cancellation, now):
             cancellation.move(CancellationEvent.DELEGATE, now)
@@ -191,10 +193,10 @@
                 and cancellation.notified.get(name) == math.inf
             )
             if leader_has_to_take_over or cancellation.notified.get(name, -math.inf) <= now:
-                cancellation.notified[name] = now + constants.CANCELLATION_NOTIFY_S
+                cancellation.notified[name] = now + constants.CANCELLATION_NOTIFY_INTERVAL_S
                 self.node.peers.announce_record(
                     peer,
-                    peer_messages.JobNote(cancellation.version, cancellation.ref, cancellation.record),
+                    peer_messages.RecordAnnouncement(cancellation.version, cancellation.ref, cancellation.record),
                     lambda answer, peer=peer: self._on_announced(cancellation, peer, answer),  # type: ignore[misc]
                 )
 
@@ -217,14 +219,14 @@
         leader = self.node.peers.leader(now)
         if leader is not None and cancellation.delegated_to == _leadership(leader):
             return True
-        recorded_leader = self.node.leader_by_record()
+        recorded_leader = self.node.recorded_leader_name()
         return self.node.state.health() is Health.GOOD and recorded_leader not in ("", self.node.settings.node)
 
     def _send_stops(self, now: float) -> None:
         """Send stops to the machines of outstanding cancellations.
 
-        A machine is sent them at once and, from the time when its answer counts as a proof, every CANCELLATION_PROBE_S
-        until it is one.
+        A machine is sent them at once and, from the time when its answer counts as a proof, every
+        CANCELLATION_PROBE_INTERVAL_S until it is one.
         """
         for cancellation in self.cancellations.outstanding():
             settled = cancellation.min_age_s(now) >= self.cancellations.settle_s
@@ -234,9 +236,9 @@
                     self._fetch_addresses(now)
                 elif machine not in self._commanding and (
                     contact.commanded_at < cancellation.state_since
-                    or (settled and now - contact.commanded_at > constants.CANCELLATION_PROBE_S)
+                    or (settled and now - contact.commanded_at > constants.CANCELLATION_PROBE_INTERVAL_S)
                 ):
-                    if len(self._commanding) >= constants.PROBES_AT_ONCE:
+                    if len(self._commanding) >= constants.CONCURRENT_PROBES_MAX:
                         return
                     contact.commanded_at = now
                     self._commanding[machine] = asyncio.ensure_future(self._stop_tasks(machine, contact))
@@ -248,7 +250,7 @@
         """
         if now < self._next_list or (self._listing is not None and not self._listing.done()):
             return
-        self._next_list = now + constants.CANCELLATION_LIST_S
+        self._next_list = now + constants.CANCELLATION_LIST_INTERVAL_S
         self._listing = asyncio.ensure_future(self._list())
 
     async def _list(self) -> None:
@@ -296,7 +298,7 @@
         own_name, peers = self.node.settings.node, self.node.peers.by_node.items()
         rank = sum(name < own_name and peer.fresh(now) for name, peer in peers)
         return self.cancellations.machines_to_delete(
-            now, wall, rank, constants.CANCEL_HEAR_REPORTS * self.node.settings.settings.workers.report_s
+            now, wall, rank, constants.CANCELLATION_REPORT_WAIT_RATIO * self.node.settings.settings.workers.report_s
         )
 
     def may_delete(self, names: list[str]) -> bool:
@@ -312,7 +314,7 @@
         except CloudError as err:
             # A deletion without an answer may have been carried out, and is no proof: it is tried again.
             log.info("deletion: request failed: error=%s", err)
-            await asyncio.sleep(constants.CLOUD_PAUSE_S)
+            await asyncio.sleep(constants.CLOUD_RETRY_DELAY_S)
             return
         now = monotonic_time()
         for name in names:
@@ -323,7 +325,7 @@
         """Read the record of a cancellation that a leader has had for long: it removes from it what it has proven."""
         if now < self._next_read or self.node.state.health() is not Health.GOOD:
             return
-        after_s = self.cancellations.cancel_s * constants.CANCELLATION_REREAD_SHARE
+        after_s = self.cancellations.cancel_s * constants.CANCELLATION_REREAD_AGE_RATIO
         cancellation = next(
             (
                 candidate
@@ -335,7 +337,7 @@
         )
         if cancellation is None:
             return
-        self._next_read = now + constants.CANCELLATION_REREAD_S
+        self._next_read = now + constants.CANCELLATION_REREAD_INTERVAL_S
         try:
             item = await self.node.state.get(records.JOB_PREFIX + cancellation.ref)
             if item is not None:
--- a/winglift/workers/partition_detector.py
+++ b/winglift/workers/partition_detector.py
@@ -67,7 +67,7 @@
         self.state = PartitionState.CONNECTED
         self.since = 0.0
         # Within this time a worker that has tried all other nodes in vain is back.
-        self._round_s = nodes * constants.WORKER_TRY_S + constants.REPORT_LATEST * report_s + 1.0
+        self._round_s = nodes * constants.WORKER_NODE_TIMEOUT_S + constants.REPORT_INTERVAL_MAX_RATIO * report_s + 1.0
         self._lease_s = lease_s
         self._report_s = report_s
         self._nodes = nodes
@@ -94,7 +94,7 @@
         self.move(PartitionEvent.CONTACT_LOST, now)
         if self.state is PartitionState.SCOUTING and now - self.since > self._round_s:
             self.move(PartitionEvent.NONE_BACK, now)
-        elif self.state is PartitionState.PARTITIONED and now - self.since > constants.PARTITION_SCOUT_INTERVAL_S:
+        elif self.state is PartitionState.PARTITIONED and now - self.since > constants.PARTITION_PROBE_INTERVAL_S:
             self.move(PartitionEvent.SCOUT_AGAIN, now)
 
     def redirects(self, worker: str, order: ReportOrder, idle: bool, has_newer_token: bool, now: float) -> bool:
@@ -130,11 +130,11 @@
         Idle workers first; then those whose lease outlives the whole round; if there is neither, one that may lose
         its work: that costs a machine's tasks where the zone is partitioned, and half the fleet where it is not.
         """
-        if len(self._scouts) >= constants.PARTITION_SCOUTS:
+        if len(self._scouts) >= constants.PARTITION_PROBE_WORKERS_MAX:
             return False
         if self.state is PartitionState.SCOUTING:
             return preferred
-        waited = now - self.since - constants.ISOLATED_AFTER_S
+        waited = now - self.since - constants.ISOLATION_TIMEOUT_S
         if waited <= 0:
             return False
         lease_outlives_round = self._lease_s > self._round_s + constants.CLOCK_DRIFT * self._lease_s
--- a/winglift/workers/probes.py
+++ b/winglift/workers/probes.py
@@ -19,13 +19,13 @@
 from ..net.client import Unanswered
 from ..net.runtime import current_runtime, monotonic_time
 from ..wire import workers as worker_messages
-from ..wire.users import Invalid
+from ..wire.users import InvalidMessage
 
 log = logging.getLogger(__name__)
 
 
 class Prober:
-    """Probes machines for one leader term, at most PROBES_AT_ONCE at a time, and reconciles their reports."""
+    """Probes machines for one leader term, at most CONCURRENT_PROBES_MAX at a time, and reconciles their reports."""
 
     def __init__(self, cluster: ClusterState, leadership: Leadership) -> None:
         """Probe on behalf of `leadership`; reports are reconciled only while it is entitled to act."""
@@ -39,7 +39,7 @@
         `controls`: per zone a machine that has just reported, which is probed as well.
         """
         for machine in machines:
-            if len(self._probes) >= constants.PROBES_AT_ONCE:
+            if len(self._probes) >= constants.CONCURRENT_PROBES_MAX:
                 return
             # Where every machine is unresponsive there is no control to compare with; their answers alone count then.
             control = machine if machine.state is MachineState.UNRESPONSIVE else controls.get(machine.zone)
@@ -70,7 +70,7 @@
             if (
                 not answered
                 and control_answered
-                and monotonic_time() - sent < constants.PROBE_TIMEOUT_S + constants.NODE_PAUSE_S
+                and monotonic_time() - sent < constants.PROBE_TIMEOUT_S + constants.PROCESS_PAUSE_MIN_S
             ):
                 machine.probe_failed_at = sent
                 self.cluster.changed = True
@@ -83,7 +83,7 @@
         try:
             reply = (
                 await current_runtime()
-                .client(host, int(port), most=0)
+                .client(host, int(port), max_idle=0)
                 .request("GET", "/show", None, constants.PROBE_TIMEOUT_S)
             )
             if reply.status == 200:
@@ -92,6 +92,6 @@
                         self.cluster, worker_messages.parse_report(reply.body), monotonic_time(), direct=True
                     )
                 return True
-        except (Unanswered, Invalid) as err:
+        except (Unanswered, InvalidMessage) as err:
             log.debug("probe: no valid answer: machine=%s error=%s", machine.name, err)
         return False
