--- a/winglift/cluster/peer.py
+++ b/winglift/cluster/peer.py
@@ -35,4 +35,4 @@
 
     def fresh(self, now: float) -> bool:
         """Whether its last heartbeat is younger than PEER_FRESH_S."""
-        return self.last_state is not None and now - self.last_state_at < constants.PEER_FRESH_S
+        return self.last_state is not None and now - self.last_state_at < constants.PEER_STATE_MAX_AGE_S
--- a/winglift/cluster/peer_connections.py
+++ b/winglift/cluster/peer_connections.py
@@ -33,7 +33,7 @@
         seeds: list[Seed],
         own_state: Callable[[], peer_messages.PeerState],
         on_forwarded_report: Callable[[bytes], tuple[int, bytes]],
-        on_job_record: Callable[[peer_messages.JobNote], int],
+        on_job_record: Callable[[peer_messages.RecordAnnouncement], int],
         on_state: Callable[[peer_messages.PeerState], None],
         on_peer_ended: Callable[[str], None],
         on_connected: Callable[[str], None],
@@ -55,8 +55,8 @@
         self._on_connected = on_connected
         self._on_proofs = on_proofs
         # A leader's latest announcement about its machines (encoded until it is needed), and when it was made.
-        self._fleet: peer_messages.Fleet | bytes = peer_messages.Fleet({}, {})
-        self.fleet_at = 0.0
+        self._fleet: peer_messages.FleetSummary | bytes = peer_messages.FleetSummary({}, {})
+        self.fleet_updated_at = 0.0
         self._omitted_images = 0  # number of machines whose images did not fit into the last announcement
         self._sweep_scheduled = False
         self._last_request_number = 0
@@ -79,10 +79,12 @@
                 leader = peer
         return leader
 
-    def connected(self, but: str = "") -> bool:
-        """Whether a connection is open to any node other than `but`."""
+    def connected(self, except_node: str = "") -> bool:
+        """Whether a connection is open to any node other than `except_node`."""
         return any(
-            peer.stream is not None and not peer.stream.closed() for name, peer in self.by_node.items() if name != but
+            peer.stream is not None and not peer.stream.closed()
+            for name, peer in self.by_node.items()
+            if name != except_node
         )
 
     def any_fresh(self, now: float) -> bool:
@@ -98,7 +100,9 @@
         names = [
             peer.seed.node
             for peer in self.by_node.values()
-            if peer.seed.zone == zone and peer.fresh(now) and now - peer.reachable_since > constants.PEER_REACHABLE_S
+            if peer.seed.zone == zone
+            and peer.fresh(now)
+            and now - peer.reachable_since > constants.PEER_REACHABLE_MIN_S
         ]
         return min(names, default=None)
 
@@ -106,10 +110,10 @@
         """The highest term in the peers' last heartbeats; 0 if there are none."""
         return max((peer.last_state.term for peer in self.by_node.values() if peer.last_state), default=0)
 
-    def state_works_elsewhere(self, now: float) -> bool:
+    def any_peer_reaches_state_service(self, now: float) -> bool:
         """Whether any peer with a fresh heartbeat reports that the state service answers it."""
         return any(
-            peer.fresh(now) and peer.last_state is not None and peer.last_state.state_ok
+            peer.fresh(now) and peer.last_state is not None and peer.last_state.state_service_ok
             for peer in self.by_node.values()
         )
 
@@ -143,7 +147,7 @@
         elif header.type is peer_messages.FrameType.FLEET_SUMMARY:
             # Kept encoded, since only the next leader needs it: with 970 machines, parsing each announcement took a
             # tenth of a follower's CPU time.
-            self._fleet, self.fleet_at = body, monotonic_time()
+            self._fleet, self.fleet_updated_at = body, monotonic_time()
         elif header.type is peer_messages.FrameType.FORWARDED_REPORT:
             try:
                 status, answer = self._on_forwarded_report(body)
@@ -190,7 +194,7 @@
             asyncio.ensure_future(self._maintain_connection(peer)) for peer in self.by_node.values()
         ]
 
-    def shut(self) -> None:
+    def shut_down(self) -> None:
         """Stop listening and close all connections, outgoing and accepted."""
         for task in self._connection_tasks:
             task.cancel()
@@ -208,7 +212,7 @@
         while True:
             stream: Stream | None = None
             try:
-                async with asyncio.timeout(constants.PEER_CONNECT_S):
+                async with asyncio.timeout(constants.PEER_CONNECT_TIMEOUT_S):
                     stream = await current_runtime().connect(host, port)
                 closed_by_peer = True
                 await self._use_connection(peer, stream)
@@ -225,7 +229,9 @@
                 if stream is not None:
                     stream.close()
                 self._expire_requests(peer, math.inf)
-            await asyncio.sleep(constants.PEER_RECONNECT_S if closed_by_peer else constants.PEER_RETRY_S)
+            await asyncio.sleep(
+                constants.PEER_RECONNECT_DELAY_S if closed_by_peer else constants.PEER_CONNECT_RETRY_DELAY_S
+            )
 
     async def _use_connection(self, peer: Peer, stream: Stream) -> None:
         """Send a heartbeat every PEER_STATE_INTERVAL_S and read answers, until the stream is closed.
@@ -238,7 +244,7 @@
         reader = asyncio.ensure_future(self._read_answers(peer, stream))
         try:
             while not stream.closed():
-                async with asyncio.timeout(constants.PEER_WRITE_S):
+                async with asyncio.timeout(constants.PEER_WRITE_TIMEOUT_S):
                     heartbeat = peer_messages.pack_state(self._own_state())
                     # Shielded, since tornado logs an error for each cancelled write.
                     await asyncio.shield(
@@ -276,7 +282,7 @@
         """
         self._ask(peer, peer_messages.FrameType.FORWARDED_REPORT, report, on_answer)
 
-    def announce_record(self, peer: Peer, note: peer_messages.JobNote, on_answer: OnAnswer) -> None:
+    def announce_record(self, peer: Peer, note: peer_messages.RecordAnnouncement, on_answer: OnAnswer) -> None:
         """Announce a record to a peer, which answers 200 if it acts on it as the leader, or 202 if it has noted it."""
 
         def on_acknowledged(answer: tuple[int, bytes] | None) -> None:
@@ -293,12 +299,14 @@
         """
         for peer in self.by_node.values():
             for start_index in range(
-                0, len(proofs) if peer.acknowledges_records else 0, constants.CANCELLATION_PROOFS_MAX
+                0, len(proofs) if peer.acknowledges_records else 0, constants.CANCELLATION_PROOFS_PER_FRAME_MAX
             ):
                 self._send(
                     peer,
                     peer_messages.FrameType.CANCELLATION_PROOFS,
-                    peer_messages.pack_proofs(proofs[start_index : start_index + constants.CANCELLATION_PROOFS_MAX]),
+                    peer_messages.pack_proofs(
+                        proofs[start_index : start_index + constants.CANCELLATION_PROOFS_PER_FRAME_MAX]
+                    ),
                 )
 
     def _ask(self, peer: Peer, frame_type: peer_messages.FrameType, body: bytes, on_answer: OnAnswer) -> None:
@@ -321,7 +329,7 @@
     def _schedule_sweep(self) -> None:
         if not self._sweep_scheduled:
             self._sweep_scheduled = True
-            asyncio.get_running_loop().call_later(constants.FORWARD_SWEEP_S, self._sweep)
+            asyncio.get_running_loop().call_later(constants.FORWARD_CHECK_INTERVAL_S, self._sweep)
 
     def _sweep(self) -> None:
         """Expire the requests whose deadline has passed."""
@@ -341,30 +349,30 @@
             del peer.pending_requests[number]
             request.on_answer(None)
 
-    def notify_leader(self, note: peer_messages.JobNote) -> None:
+    def notify_leader(self, note: peer_messages.RecordAnnouncement) -> None:
         """Announce a record to the leader, which would otherwise learn of it later from its watch. May be lost."""
         peer = self.leader(monotonic_time())
         if peer is not None:
             self._send(peer, peer_messages.FrameType.JOB_RECORD, peer_messages.pack_job(note))
 
     @property
-    def fleet(self) -> peer_messages.Fleet:
+    def fleet(self) -> peer_messages.FleetSummary:
         """The latest announcement of a leader about its machines; empty if it can't be parsed."""
         if isinstance(self._fleet, bytes):
             try:
                 self._fleet = peer_messages.parse_fleet(self._fleet)
             except peer_messages.BadFrame as err:
                 log.warning("peer connection: bad fleet announcement: error=%s", err)
-                self._fleet = peer_messages.Fleet({}, {})
+                self._fleet = peer_messages.FleetSummary({}, {})
         return self._fleet
 
-    def announce_fleet(self, fleet: peer_messages.Fleet) -> None:
+    def announce_fleet(self, fleet: peer_messages.FleetSummary) -> None:
         """Announce the leader's machines to all peers.
 
         Reports don't list images, and silent machines send none, so without this a new leader would know neither the
         images nor how long machines have been silent.
         """
-        self._fleet, self.fleet_at = fleet, monotonic_time()
+        self._fleet, self.fleet_updated_at = fleet, monotonic_time()
         body, omitted = peer_messages.pack_fleet(fleet)
         if omitted and not self._omitted_images:
             log.info(
--- a/winglift/net/budget.py
+++ b/winglift/net/budget.py
@@ -6,7 +6,7 @@
 
 
 @dataclass
-class Budget:
+class TokenBucket:
     """A token bucket that gains `rate` tokens a second and holds at most `burst`."""
 
     rate: float
@@ -48,7 +48,7 @@
         self.tokens -= amount
         return wait
 
-    def free(self, now: float) -> float:
+    def available(self, now: float) -> float:
         """Number of tokens available now, never negative."""
         self._refill(now)
         return max(0.0, self.tokens)
@@ -58,7 +58,7 @@
         self._refill(now)
         return max(0.0, (min(amount, self.burst) - self.tokens) / self.rate)
 
-    def penalise(self, now: float) -> None:
+    def deplete(self, now: float) -> None:
         """Empty the bucket after a 429 answer: other clients share the service's limit."""
         self._refill(now)
         self.tokens = min(self.tokens, 0.0)
--- a/winglift/net/client.py
+++ b/winglift/net/client.py
@@ -75,12 +75,12 @@
 
 
 @dataclass
-class Client:
-    """Client for one address. Opens connections on demand and keeps up to `most` idle ones for later requests."""
+class PoolingHttpClient:
+    """Client for one address. Opens connections on demand and keeps up to `max_idle` idle ones for later requests."""
 
     host: str
     port: int
-    most: int = constants.POOL_PER_HOST
+    max_idle: int = constants.POOLED_CONNECTIONS_PER_ADDRESS_MAX
     _idle: deque[_PooledConnection] = field(default_factory=deque)
 
     async def _connect(self) -> IOStream:
@@ -101,7 +101,7 @@
         now = time.monotonic()
         while self._idle:
             pooled = self._idle.pop()
-            if pooled.stream.closed() or now - pooled.idle_since > constants.POOL_IDLE_S:
+            if pooled.stream.closed() or now - pooled.idle_since > constants.POOLED_CONNECTION_IDLE_TIMEOUT_S:
                 pooled.stream.close()
                 continue
             return pooled.stream
@@ -123,7 +123,7 @@
         except (StreamClosedError, OSError, httputil.HTTPInputError) as err:
             raise Unanswered(f"{method} {path}: {err}") from None
         finally:
-            if not complete or not collector.reusable() or len(self._idle) >= self.most or stream.closed():
+            if not complete or not collector.reusable() or len(self._idle) >= self.max_idle or stream.closed():
                 stream.close()
             else:
                 conn.detach()
--- a/winglift/net/runtime.py
+++ b/winglift/net/runtime.py
@@ -21,10 +21,10 @@
 from tornado.iostream import IOStream
 from tornado.tcpserver import TCPServer
 
-from .client import Client, Reply
+from .client import PoolingHttpClient, Reply
 
 
-class Requests(Protocol):
+class HttpClient(Protocol):
     """HTTP client for one address; requests may run concurrently."""
 
     async def request(self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0) -> Reply:
@@ -63,7 +63,7 @@
 class Server(Protocol):
     """A listening HTTP server."""
 
-    open: int  # number of open connections from users and workers
+    open_connections: int  # number of open connections from users and workers
 
     def stop(self) -> None:
         """Accept no more connections."""
@@ -92,8 +92,8 @@
         """A new random generator."""
         ...
 
-    def client(self, host: str, port: int, most: int | None = None) -> Requests:
-        """An HTTP client for one address; `most` is the number of idle connections it keeps."""
+    def client(self, host: str, port: int, max_idle: int | None = None) -> HttpClient:
+        """An HTTP client for one address; `max_idle` is the number of idle connections it keeps."""
         ...
 
     def serve(self, delegate: HTTPServerConnectionDelegate, host: str, port: int, **limits: Any) -> Server:
@@ -120,7 +120,7 @@
     creates a timer and a future per request, which took a sixth of the cost of handling a report.
     """
 
-    open = 0
+    open_connections = 0
 
     def initialize(  # type: ignore[override]
         self,
@@ -137,7 +137,7 @@
 
     def handle_stream(self, stream: IOStream, address: tuple) -> None:
         """Count an accepted connection and serve it."""
-        self.open += 1
+        self.open_connections += 1
         super().handle_stream(stream, address)
         self._schedule_sweep()
 
@@ -148,12 +148,12 @@
 
     def on_close(self, server_conn: object) -> None:
         """Remove a closed connection from the count."""
-        self.open -= 1
+        self.open_connections -= 1
         self.waiting_since.pop(server_conn, None)
         super().on_close(server_conn)
 
     def _schedule_sweep(self) -> None:
-        if self._sweep_timer is None and self.open and self.idle_s < math.inf:
+        if self._sweep_timer is None and self.open_connections and self.idle_s < math.inf:
             self._sweep_timer = asyncio.get_running_loop().call_later(self.idle_s / 5, self._close_idle)
 
     def _close_idle(self) -> None:
@@ -193,9 +193,9 @@
         """A new random generator, seeded by the operating system."""
         return random.Random()
 
-    def client(self, host: str, port: int, most: int | None = None) -> Requests:
-        """A pooling HTTP client for one address; `most` is the number of idle connections it keeps."""
-        return Client(host, port) if most is None else Client(host, port, most)
+    def client(self, host: str, port: int, max_idle: int | None = None) -> HttpClient:
+        """A pooling HTTP client for one address; `max_idle` is the number of idle connections it keeps."""
+        return PoolingHttpClient(host, port) if max_idle is None else PoolingHttpClient(host, port, max_idle)
 
     def serve(self, delegate: HTTPServerConnectionDelegate, host: str, port: int, **limits: Any) -> Server:
         """Start an HTTP server on `host:port`."""
--- a/winglift/store/batcher.py
+++ b/winglift/store/batcher.py
@@ -34,7 +34,7 @@
 REREAD_RETRY_S = 0.3  # delay before a failed read of a record is retried, after a conflict or an unknown outcome
 
 
-def pack(job: Job) -> records.JobRecord:
+def build_job_record(job: Job) -> records.JobRecord:
     """Build the record of a job from its current state."""
     first_open, done_bitmap = records.pack_done(job.done)
     state = JobState.DONE if job.state is JobState.ENDING else job.state
@@ -78,7 +78,7 @@
 
     def fits(self, job: Job) -> bool:
         """Whether the job's record fits into one value of the state service, leaving RECORD_SPARE_BYTES free."""
-        return len(msgspec.json.encode(pack(job))) <= self.max_value_bytes - constants.RECORD_SPARE_BYTES
+        return len(msgspec.json.encode(build_job_record(job))) <= self.max_value_bytes - constants.RECORD_HEADROOM_BYTES
 
     def flush(self) -> None:
         """Start as many transactions as pending changes, COMMIT_PARALLEL and write budget allow, urgent changes first.
@@ -91,20 +91,20 @@
             self._timer = None
         # During an outage a single transaction serves as the probe: building hundreds of records for each rejected
         # attempt took a tenth of a core.
-        max_parallel = constants.COMMIT_PARALLEL if self.state.health() is Health.GOOD else 1
+        max_parallel = constants.CONCURRENT_TRANSACTIONS_MAX if self.state.health() is Health.GOOD else 1
         if self.fence_lost or len(self._running) >= max_parallel:
             return
-        available = self.state.writes_free()
+        available = self.state.available_writes()
         due, more_waiting = self._due(available, monotonic_time())
         while due and available >= 1 and len(self._running) < max_parallel:
             available -= self._send(due, min(self.max_batch_records, available))
         if due or more_waiting:
-            self.flush_soon()
+            self.schedule_flush()
 
-    def flush_soon(self) -> None:
+    def schedule_flush(self) -> None:
         """Schedule a flush in FLUSH_AGAIN_S, instead of waiting for the next planning cycle."""
         if self._timer is None and not self.fence_lost:
-            self._timer = asyncio.get_running_loop().call_later(constants.FLUSH_AGAIN_S, self.flush)
+            self._timer = asyncio.get_running_loop().call_later(constants.FLUSH_RETRY_DELAY_S, self.flush)
 
     def _due(self, available: int, now: float) -> tuple[list[Job], bool]:
         """The jobs to write now, most urgent first, and whether any non-urgent changes are pending."""
@@ -114,11 +114,11 @@
         deferrable = [job for job in dirty if job.pending_write > WritePriority.START]
         waiting = {job.ref: self._waiting_since.get(job.ref, now) for job in deferrable}
         self._waiting_since = waiting
-        spare = available - len(due) - int(self.limits.write_rps * constants.START_WRITES_KEPT)
-        delayed = [job for job in deferrable if now - waiting[job.ref] >= constants.PROGRESS_AFTER_S]
+        spare = available - len(due) - int(self.limits.write_rps * constants.PROGRESS_SPARE_WRITES_SHARE)
+        delayed = [job for job in deferrable if now - waiting[job.ref] >= constants.PROGRESS_WRITE_DELAY_S]
         delayed.sort(key=lambda job: waiting[job.ref])
         # A change that has waited for PROGRESS_DELAY_MAX_S is due like a start, even if no budget is left over.
-        overdue = sum(now - waiting[job.ref] >= constants.PROGRESS_DELAY_MAX_S for job in delayed)
+        overdue = sum(now - waiting[job.ref] >= constants.PROGRESS_WRITE_DELAY_MAX_S for job in delayed)
         return due + delayed[: max(overdue, spare)], bool(waiting)
 
     def _send(self, due: list[Job], max_records: int) -> int:
@@ -144,13 +144,13 @@
         batch_bytes = 0
         while due and len(batch) < max_records:
             job = due[0]
-            record = pack(job)
+            record = build_job_record(job)
             record_bytes = len(msgspec.json.encode(record))
             if batch and batch_bytes + record_bytes > MAX_TXN_BYTES:
                 break
             due.pop(0)
             try:
-                condition, put = records.record_change(job.ref, job.version, job.committed_state, record)
+                condition, put = records.build_record_write(job.ref, job.version, job.committed_state, record)
             except records.FinalStateViolation as err:
                 log.error("job record: not written, it is final: error=%s", err)
                 job.pending_write = WritePriority.NONE
@@ -171,7 +171,7 @@
         except (RequestRejected, LeaseExpired) as err:
             self._shrink_if_invalid(batch, err)
             self._mark_for_retry(batch)
-            await asyncio.sleep(constants.WRITE_AGAIN_S)
+            await asyncio.sleep(constants.WRITE_RETRY_DELAY_S)
         except OutcomeUnknown as err:
             # The transaction may have been executed, or may be later: read the records before any further decision.
             log.info("job records: outcome of a write unknown, reading again: error=%s", err)
@@ -247,7 +247,7 @@
             self._timer = None
         self.fence_lost = True
 
-    def reject(self, job: Job, now: float, keep: int) -> None:
+    def reject_proposals(self, job: Job, now: float, keep: int) -> None:
         """Reject all but the first `keep` proposed tasks of a job, so that its record fits into one value."""
         proposed = [task for task in job.active.values() if task.state is TaskState.PROPOSED]
         for task in proposed[keep:]:
--- a/winglift/store/client.py
+++ b/winglift/store/client.py
@@ -16,7 +16,7 @@
 
 from .. import constants
 from ..config.settings import State
-from ..net.budget import Budget
+from ..net.budget import TokenBucket
 from ..net.client import NotSent, Reply, Unanswered
 from ..net.runtime import current_runtime, monotonic_time
 from ..wire import state as state_messages
@@ -85,43 +85,45 @@
         self._http = current_runtime().client(host, port)
         self._limits = limits
         self._nodes = nodes
-        self._reads = Budget(limits.rps, limits.rps)
-        self._writes = Budget(limits.write_rps, limits.write_rps)
+        self._reads = TokenBucket(limits.rps, limits.rps)
+        self._writes = TokenBucket(limits.write_rps, limits.write_rps)
         self._failing_since: float | None = None
         self._next_probe = 0.0
         self.set_leading(False)
 
     def follower_share(self) -> float:
         """The share of the service's request budget, 0 to 1, that each follower may use."""
-        return (1 - constants.LEADER_SHARE) / (self._nodes - 1) if self._nodes > 1 else 1.0
+        return (1 - constants.LEADER_REQUEST_SHARE) / (self._nodes - 1) if self._nodes > 1 else 1.0
 
     def set_leading(self, leads: bool) -> None:
         """Resize this node's rate budgets. All nodes share the service's budget; the leader's share is the largest."""
-        share = (constants.LEADER_SHARE if self._nodes > 1 else 1.0) if leads else self.follower_share()
+        share = (constants.LEADER_REQUEST_SHARE if self._nodes > 1 else 1.0) if leads else self.follower_share()
         now = monotonic_time()
         self._reads.resize(max(2.0, self._limits.rps * share), max(2.0, self._limits.rps * share), now)
         if self._nodes > 1:
             share = constants.LEADER_WRITE_SHARE if leads else (1 - constants.LEADER_WRITE_SHARE) / (self._nodes - 1)
         # A follower writes rarely, but then for many users at once, so its burst may exceed its share of one second.
-        burst = share if leads or self._nodes == 1 else max(share, constants.FOLLOWER_WRITE_BURST)
+        burst = share if leads or self._nodes == 1 else max(share, constants.FOLLOWER_WRITE_BURST_SHARE)
         # Even with a small budget, the burst must hold one change in addition to the reserve for users.
         self._writes.resize(max(1.0, self._limits.write_rps * share), max(1.5, self._limits.write_rps * burst), now)
 
-    def writes_free(self) -> int:
+    def available_writes(self) -> int:
         """Number of changes that the leader may commit now; a few are reserved for users who submit at this node.
 
         Without the reserve, batches used every token as soon as it was available, and submissions at the leader waited
         or were refused.
         """
-        reserved = min(constants.SUBMIT_WRITES_KEPT, self._writes.burst * constants.SUBMIT_WRITES_SHARE)
-        return max(0, int(self._writes.free(monotonic_time()) - reserved))
+        reserved = min(
+            constants.SUBMISSION_RESERVED_WRITES_MAX, self._writes.burst * constants.SUBMISSION_RESERVED_WRITES_SHARE
+        )
+        return max(0, int(self._writes.available(monotonic_time()) - reserved))
 
     def has_spare_writes(self, kept_share: float) -> bool:
         """Whether the service answers and more write budget is left than `kept_share` of the changes a second.
 
         Checked before writes that nothing waits for, so that they take no budget from starts, ends and users.
         """
-        return self.health() is Health.GOOD and self.writes_free() >= self._limits.write_rps * kept_share
+        return self.health() is Health.GOOD and self.available_writes() >= self._limits.write_rps * kept_share
 
     # -- health --------------------------------------------------------------------------------
 
@@ -129,14 +131,14 @@
         """GOOD until a request fails, DOWN once all have failed for STATE_DOWN_AFTER_S."""
         if self._failing_since is None:
             return Health.GOOD
-        if monotonic_time() - self._failing_since < constants.STATE_DOWN_AFTER_S:
+        if monotonic_time() - self._failing_since < constants.STATE_DOWN_TIMEOUT_S:
             return Health.DOUBTFUL
         return Health.DOWN
 
     def _record_outcome(self, success: bool) -> None:
         now = monotonic_time()
         if success:
-            if self._failing_since is not None and now - self._failing_since >= constants.STATE_DOWN_AFTER_S:
+            if self._failing_since is not None and now - self._failing_since >= constants.STATE_DOWN_TIMEOUT_S:
                 log.info("state service: available again: outage_s=%.1f", now - self._failing_since)
             self._failing_since = None
         elif self._failing_since is None:
@@ -152,9 +154,9 @@
             now = monotonic_time()
             if now < self._next_probe:
                 raise RequestRejected("state service is down")
-            self._next_probe = now + constants.STATE_PROBE_S
+            self._next_probe = now + constants.STATE_PROBE_INTERVAL_S
 
-    async def _wait_for_budget(self, budget: Budget, amount: float, max_wait: float) -> None:
+    async def _wait_for_budget(self, budget: TokenBucket, amount: float, max_wait: float) -> None:
         wait = budget.reserve(monotonic_time(), amount, max_wait)
         if wait is None:
             raise RequestRejected("rate budget for the state service is used up")
@@ -167,7 +169,7 @@
         path: str,
         body: bytes | None = None,
         timeout: float = constants.STATE_TIMEOUT_S,
-        max_wait: float = constants.MAX_QUEUE_S,
+        max_wait: float = constants.REQUEST_TOKEN_TIMEOUT_S,
         changes: int = 0,
         urgent: bool = False,
     ) -> Reply:
@@ -195,9 +197,9 @@
     def _check_status(self, reply: Reply, changes: int) -> None:
         """Raise RequestRejected if the service is overloaded or failing. A 429 empties the budgets of the request."""
         if reply.status == 429:
-            self._reads.penalise(monotonic_time())
+            self._reads.deplete(monotonic_time())
             if changes:
-                self._writes.penalise(monotonic_time())
+                self._writes.deplete(monotonic_time())
             raise RequestRejected("state service: 429")
         if reply.status >= 500:
             self._record_outcome(False)
@@ -225,7 +227,7 @@
         revision = 0
         after = ""
         while True:
-            path = f"/store?prefix={quote(prefix)}&limit={constants.LIST_LIMIT}" + (
+            path = f"/store?prefix={quote(prefix)}&limit={constants.LIST_RECORDS_MAX}" + (
                 f"&after={quote(after)}" if after else ""
             )
             reply = await self._call("GET", path, timeout=LIST_TIMEOUT_S, max_wait=LONG_QUEUE_S)
@@ -243,7 +245,7 @@
         self,
         txn: state_messages.Transaction,
         timeout: float = constants.STATE_TIMEOUT_S,
-        max_wait: float = constants.MAX_QUEUE_S,
+        max_wait: float = constants.REQUEST_TOKEN_TIMEOUT_S,
         urgent: bool = False,
     ) -> state_messages.Committed | state_messages.Conflict:
         """Execute a compare-and-swap transaction; a Conflict names the keys whose revisions were not as expected.
@@ -284,7 +286,7 @@
         await self._call("DELETE", f"/grants/{lease}", urgent=True)
 
     async def changes(
-        self, prefix: str, after: int, block_ms: int = constants.WATCH_BLOCK_MS
+        self, prefix: str, after: int, block_ms: int = constants.LONG_POLL_TIMEOUT_MS
     ) -> state_messages.Changes:
         """The changes under a prefix since revision `after`; with `block_ms` above 0, a long poll for the next change.
 
--- a/winglift/store/election.py
+++ b/winglift/store/election.py
@@ -49,7 +49,7 @@
         """Run the election until the node stops: renew the lease as leader, else follow and campaign."""
         while True:
             try:
-                if self.leadership.role in (Role.LEADER, Role.DOUBTFUL):
+                if self.leadership.role in (Role.LEADER, Role.LEASE_IN_DOUBT):
                     await self._renew()
                 else:
                     await self._follow()
@@ -57,7 +57,7 @@
                 log.debug("election: request failed: error=%s", err)
                 if self.leadership.role is Role.CAMPAIGNING:
                     self.leadership.move(RoleEvent.LOST)
-                await asyncio.sleep(constants.CAMPAIGN_POLL_S)
+                await asyncio.sleep(constants.CAMPAIGN_POLL_INTERVAL_S)
 
     # -- leading -------------------------------------------------------------------------------
 
@@ -74,12 +74,14 @@
             self.check_lease()
             await asyncio.sleep(RENEWAL_RETRY_S)
             return
-        if self.leadership.role in (Role.LEADER, Role.DOUBTFUL):
+        if self.leadership.role in (Role.LEADER, Role.LEASE_IN_DOUBT):
             self.leadership.extend_lease(sent_at, constants.LEADER_LEASE_S)
-            if self.leadership.role is Role.DOUBTFUL:
+            if self.leadership.role is Role.LEASE_IN_DOUBT:
                 log.info("election: leading again, lease renewed: term=%d", self.leadership.term)
             self.leadership.move(RoleEvent.RENEWED)
-        await asyncio.sleep(max(RENEWAL_PAUSE_MIN_S, constants.LEADER_RENEW_S - (monotonic_time() - sent_at)))
+        await asyncio.sleep(
+            max(RENEWAL_PAUSE_MIN_S, constants.LEADER_RENEWAL_INTERVAL_S - (monotonic_time() - sent_at))
+        )
 
     def check_lease(self) -> None:
         """Mark the leadership as doubtful once the lease may have expired, by this node's clock."""
@@ -99,7 +101,7 @@
     async def resign(self, reason: str) -> None:
         """Give up leadership: revoke the lease at once, and let the other nodes campaign first."""
         lease = self.leadership.lease
-        self._no_campaign_before = monotonic_time() + constants.RESIGN_PAUSE_S
+        self._no_campaign_before = monotonic_time() + constants.RESIGNATION_BACKOFF_S
         self.step_down(reason)
         try:
             await self.state.revoke_lease(lease)
@@ -108,7 +110,7 @@
 
     # -- following -----------------------------------------------------------------------------
 
-    async def expire_lease_of(self, node: str) -> None:
+    async def revoke_lease_of(self, node: str) -> None:
         """Revoke the lease of a leader whose process seems to have ended, so that another node can lead at once.
 
         If the process has not ended, the only cost is a failover: a leader without the leadership key can't commit new
@@ -149,7 +151,9 @@
             await self._campaign()
             return
         try:
-            async with asyncio.timeout(constants.CAMPAIGN_POLL_S + self._rng.random() * constants.CAMPAIGN_JITTER_S):
+            async with asyncio.timeout(
+                constants.CAMPAIGN_POLL_INTERVAL_S + self._rng.random() * constants.CAMPAIGN_JITTER_MAX_S
+            ):
                 await self.campaign_requested.wait()
         except TimeoutError:
             pass
@@ -175,7 +179,7 @@
         revision = await self._commit_leadership(txn, term, lease)
         if not revision:
             self.leadership.move(RoleEvent.LOST)
-            await asyncio.sleep(self._rng.random() * constants.CAMPAIGN_JITTER_S)
+            await asyncio.sleep(self._rng.random() * constants.CAMPAIGN_JITTER_MAX_S)
             return
         self._become_leader(term, lease, revision, sent_at)
 
--- a/winglift/store/image_cache_snapshots.py
+++ b/winglift/store/image_cache_snapshots.py
@@ -31,20 +31,20 @@
         self.fence = fence
         self._written: dict[str, bytes] = {}
         self._task: asyncio.Task | None = None
-        self._next_snapshot_at = monotonic_time() + constants.IMAGE_CACHE_SNAPSHOT_S
+        self._next_snapshot_at = monotonic_time() + constants.IMAGE_CACHE_SNAPSHOT_INTERVAL_S
 
     def due(self, now: float) -> bool:
         """Whether a snapshot is due and there is write budget that neither starts nor users need."""
         return (
             now >= self._next_snapshot_at
             and (self._task is None or self._task.done())
-            and self.state.has_spare_writes(constants.IMAGE_CACHE_WRITES_KEPT)
+            and self.state.has_spare_writes(constants.IMAGE_CACHE_SPARE_WRITES_SHARE)
         )
 
     def save(self, images: Mapping[str, Mapping[str, float]], now: float) -> None:
         """Start to write the images of all machines, as many as fit into IMAGE_CACHE_RECORDS values."""
-        self._next_snapshot_at = now + constants.IMAGE_CACHE_SNAPSHOT_S
-        records = image_cache_record.pack(images, int(self.limits.value_kb * 1024) - constants.RECORD_SPARE_BYTES)
+        self._next_snapshot_at = now + constants.IMAGE_CACHE_SNAPSHOT_INTERVAL_S
+        records = image_cache_record.pack(images, int(self.limits.value_kb * 1024) - constants.RECORD_HEADROOM_BYTES)
         changed = {key: value for key, value in records.items() if self._written.get(key) != value}
         if changed:
             self._task = asyncio.ensure_future(self._write(changed))
@@ -57,15 +57,15 @@
     async def _write(self, records: dict[str, bytes]) -> None:
         keys = list(records)
         try:
-            while keys and self.leadership.entitled(monotonic_time()):
+            while keys and self.leadership.has_valid_lease(monotonic_time()):
                 # A few records at a time, from the budget that starts and users leave over.
                 max_records = min(
-                    int(self.state.writes_free() - self.limits.write_rps * constants.START_WRITES_KEPT),
+                    int(self.state.available_writes() - self.limits.write_rps * constants.PROGRESS_SPARE_WRITES_SHARE),
                     self.limits.txn_ops,
                     max(1, int(MAX_TXN_BYTES / (self.limits.value_kb * 1024))),
                 )
                 if max_records < 1:
-                    await asyncio.sleep(constants.WRITE_AGAIN_S)
+                    await asyncio.sleep(constants.WRITE_RETRY_DELAY_S)
                     continue
                 batch, keys = keys[:max_records], keys[max_records:]
                 # Conditional on the leadership key's revision: a node that no longer leads can't write (invariant 1).
--- a/winglift/store/read_cache.py
+++ b/winglift/store/read_cache.py
@@ -56,7 +56,7 @@
         self._on_record(ref, version, record)
         self._known[ref] = version, digest
         self._known.move_to_end(ref)
-        while len(self._known) > constants.READ_CACHE_RECORDS:
+        while len(self._known) > constants.READ_CACHE_RECORDS_MAX:
             self._known.popitem(last=False)
         return digest
 
@@ -71,13 +71,13 @@
             cached = self._known.get(ref)
             # If this process was paused after the refresh was sent, the cached state may be stale: another node may
             # have given the user a newer answer meanwhile.
-            if monotonic_time() - self._fresh_as_of > constants.REFRESH_VALID_S:
+            if monotonic_time() - self._fresh_as_of > constants.REFRESH_MAX_AGE_S:
                 raise RequestRejected("this node was paused during the read")
             if cached is not None:
                 return cached[1]
         sent_at = monotonic_time()
         item = await self.state.get(records.JOB_PREFIX + ref, timeout=constants.STATUS_TIMEOUT_S)
-        if monotonic_time() - sent_at > constants.STATUS_TIMEOUT_S + constants.REFRESH_VALID_S:
+        if monotonic_time() - sent_at > constants.STATUS_TIMEOUT_S + constants.REFRESH_MAX_AGE_S:
             raise RequestRejected("this node was paused during the read")
         return None if item is None else self.add_record(ref, item.version, records.decode(item.value))
 
--- a/winglift/wire/cloud.py
+++ b/winglift/wire/cloud.py
@@ -33,7 +33,7 @@
     zones: list[str]
 
 
-class Types(msgspec.Struct, frozen=True, rename={"types": "rigTypes"}):
+class MachineTypes(msgspec.Struct, frozen=True, rename={"types": "rigTypes"}):
     """Answer of GET /flavors."""
 
     types: list[msgspec.Raw]  # decoded one by one, so that a malformed type does not hide the others
@@ -66,7 +66,7 @@
     return decoded
 
 
-class Rent(
+class RentRequest(
     msgspec.Struct,
     frozen=True,
     rename={
@@ -85,13 +85,13 @@
     count: int
 
 
-class Names(msgspec.Struct, frozen=True, rename={"machines": "rigs"}):
+class MachineNames(msgspec.Struct, frozen=True, rename={"machines": "rigs"}):
     """Answer of POST /hosts, and body of POST /hosts/delete."""
 
     machines: list[str]
 
 
-class Listed(
+class ListedMachine(
     msgspec.Struct,
     frozen=True,
     kw_only=True,
@@ -116,8 +116,8 @@
     age_s: float
 
 
-class Listing(msgspec.Struct, frozen=True, rename={"machines": "rigs", "more": "truncated"}):
+class MachineListing(msgspec.Struct, frozen=True, rename={"machines": "rigs", "more": "truncated"}):
     """Answer of GET /hosts: one page of the listing; `more`: further pages follow."""
 
-    machines: list[Listed]
+    machines: list[ListedMachine]
     more: bool = False
--- a/winglift/wire/flows.py
+++ b/winglift/wire/flows.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from .users import Invalid
+from .users import InvalidMessage
 
-FLOW = re.compile(r"fl-[0-9]{1,20}\Z")
+FLOW_REF = re.compile(r"fl-[0-9]{1,20}\Z")
 DIGEST = re.compile(r"[0-9a-f]{64}\Z")
-UPLOAD = "sha256:"  # prefix of a file's location: its content is the upload with this SHA-256
-BASE = "/winglift-task"  # placeholder for the directory (with in, out and tmp) that a worker creates for a task
+UPLOAD_PREFIX = "sha256:"  # prefix of a file's location: its content is the upload with this SHA-256
+TASK_DIR = "/winglift-task"  # placeholder for the directory (with in, out and tmp) that a worker creates for a task
 
 
 class FlowState(StrEnum):
@@ -30,7 +30,7 @@
     CANCELLED = "cancelled"
 
 
-class How(StrEnum):
+class StepOutcome(StrEnum):
     """How a step ended."""
 
     DONE = "done"
@@ -70,7 +70,7 @@
     evaluate: str | None = None
 
 
-class Staged(msgspec.Struct, frozen=True, omit_defaults=True):
+class WorkDirEntry(msgspec.Struct, frozen=True, omit_defaults=True):
     """An entry of InitialWorkDirRequirement: `entry` is a file's content, or an expression that returns files."""
 
     entry: str
@@ -90,7 +90,7 @@
     deadline_s: float | None = None
     image_gb: float | None = None
 
-    def over(self, other: Hints) -> Hints:
+    def with_defaults(self, other: Hints) -> Hints:
         """These hints, with those of `other` where none is given here."""
         given = {name: value for name in self.__struct_fields__ if (value := getattr(self, name)) is not None}
         return msgspec.structs.replace(other, **given)
@@ -108,7 +108,7 @@
     stderr: str | None = None
     success: list[int] = msgspec.field(default_factory=lambda: [0])
     env: dict[str, str] = {}
-    staged: list[Staged] = []
+    staged: list[WorkDirEntry] = []
     cpus: float | str = 1.0
     gpus: float | str = 0.0
     memory_gb: float | str = 0.25
@@ -234,19 +234,19 @@
 # -- task descriptions and results, exchanged with workers through the upload store ---------------
 
 
-class Fetch(msgspec.Struct, frozen=True, omit_defaults=True):
+class InputFile(msgspec.Struct, frozen=True, omit_defaults=True):
     """A file to create at `path` (below BASE) before the command starts; a directory if `digest` is None."""
 
     path: str
     digest: str | None = None
 
 
-class Work(msgspec.Struct, frozen=True, omit_defaults=True):
+class TaskDescription(msgspec.Struct, frozen=True, omit_defaults=True):
     """The command of one task. `outputs` are collected once it has exited; `time_s` is its time limit (0: none)."""
 
     command: list[str]
     env: dict[str, str] = {}
-    files: list[Fetch] = []
+    files: list[InputFile] = []
     stdin: str | None = None
     stdout: str | None = None
     stderr: str | None = None
@@ -255,7 +255,7 @@
     outputs: list[Output] = []
 
 
-class Found(msgspec.Struct, frozen=True, omit_defaults=True):
+class TaskResult(msgspec.Struct, frozen=True, omit_defaults=True):
     """The result of one task: files by output name, or in `whole` the object read from cwl.output.json."""
 
     machine: str
@@ -268,68 +268,68 @@
     why: str = ""
 
 
-class FoundItem(msgspec.Struct, frozen=True):
+class TaskResultItem(msgspec.Struct, frozen=True):
     """A task's number with its result."""
 
     number: int
-    found: Found
+    found: TaskResult
 
 
-class FoundPage(msgspec.Struct, frozen=True):
+class TaskResultPage(msgspec.Struct, frozen=True):
     """One page of results; `more`: further pages follow."""
 
-    items: list[FoundItem]
+    items: list[TaskResultItem]
     more: bool = False
 
 
-plans = msgspec.json.Decoder(Plan)
-submissions = msgspec.json.Decoder(FlowSubmission)
-replies = msgspec.json.Decoder(FlowReply)
-lists = msgspec.json.Decoder(FlowList)
-work_pages = msgspec.json.Decoder(list[Work])
-found_pages = msgspec.json.Decoder(FoundPage)
+plan_decoder = msgspec.json.Decoder(Plan)
+submission_decoder = msgspec.json.Decoder(FlowSubmission)
+reply_decoder = msgspec.json.Decoder(FlowReply)
+list_decoder = msgspec.json.Decoder(FlowList)
+task_descriptions_decoder = msgspec.json.Decoder(list[TaskDescription])
+task_results_decoder = msgspec.json.Decoder(TaskResultPage)
 
 
-def is_flow(text: str) -> bool:
+def is_flow_ref(text: str) -> bool:
     """Whether the text has the form of a workflow id."""
-    return FLOW.match(text) is not None
+    return FLOW_REF.match(text) is not None
 
 
 def parse_submission(body: bytes) -> FlowSubmission:
     """Decode and check a submission. Raises Invalid that names the field."""
     try:
-        sub = submissions.decode(body)
+        sub = submission_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
-        raise Invalid(str(err)) from None
-    if not is_flow(sub.ref):
-        raise Invalid("ref: expected the form fl-000412")
+        raise InvalidMessage(str(err)) from None
+    if not is_flow_ref(sub.ref):
+        raise InvalidMessage("ref: expected the form fl-000412")
     for field in ("plan", "order"):
         if not DIGEST.match(getattr(sub, field)):
-            raise Invalid(f"{field}: expected a SHA-256 in hexadecimal")
-    if sub.reuse is not None and not is_flow(sub.reuse):
-        raise Invalid("reuse: expected the form fl-000412")
+            raise InvalidMessage(f"{field}: expected a SHA-256 in hexadecimal")
+    if sub.reuse is not None and not is_flow_ref(sub.reuse):
+        raise InvalidMessage("reuse: expected the form fl-000412")
     if sub.due_s is not None and not 0 < sub.due_s < 1e9:
-        raise Invalid("due_s: expected seconds above 0, or null")
+        raise InvalidMessage("due_s: expected seconds above 0, or null")
     if not 0 < len(sub.team) <= 128:
-        raise Invalid("team: expected 1 to 128 characters")
+        raise InvalidMessage("team: expected 1 to 128 characters")
     return sub
 
 
 def parse_plan(body: bytes) -> Plan:
     """Decode a plan and check the references between its processes and steps. Raises Invalid that names the place."""
     try:
-        plan = plans.decode(body)
+        plan = plan_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
-        raise Invalid(f"plan: {err}") from None
+        raise InvalidMessage(f"plan: {err}") from None
     for name, process in [("main", plan.main)] if plan.main not in plan.processes else []:
-        raise Invalid(f"plan: {name}: no process {process}")
+        raise InvalidMessage(f"plan: {name}: no process {process}")
     for name, definition in plan.processes.items():
         if not isinstance(definition, Workflow):
             continue
         known = {p.name for p in definition.inputs}
         for step in definition.steps:
             if step.run not in plan.processes:
-                raise Invalid(f"plan: {name}/{step.name}: no process {step.run}")
+                raise InvalidMessage(f"plan: {name}/{step.name}: no process {step.run}")
             known |= {f"{step.name}/{out}" for out in step.outputs}
         for where, sources in [
             *((f"{name}/{s.name}/{i.name}", i.source) for s in definition.steps for i in s.inputs),
@@ -337,7 +337,7 @@
         ]:
             for source in sources:
                 if source not in known:
-                    raise Invalid(f"plan: {where}: no source {source}")
+                    raise InvalidMessage(f"plan: {where}: no source {source}")
     return plan
 
 
--- a/winglift/wire/peer.py
+++ b/winglift/wire/peer.py
@@ -53,12 +53,12 @@
 
     term: int
     leads: bool
-    state_ok: bool
+    state_service_ok: bool
     node: str
 
 
 @dataclass(frozen=True, slots=True)
-class JobNote:
+class RecordAnnouncement:
     """A committed job record announced to another node."""
 
     version: int
@@ -85,14 +85,14 @@
 
 def pack_state(state: PeerState) -> bytes:
     """Encode the body of a PEER_STATE frame."""
-    return _STATE.pack(state.term, state.leads, state.state_ok) + state.node.encode()
+    return _STATE.pack(state.term, state.leads, state.state_service_ok) + state.node.encode()
 
 
 def parse_state(body: bytes) -> PeerState:
     """Decode the body of a PEER_STATE frame. Raises BadFrame."""
     try:
-        term, leads, state_ok = _STATE.unpack_from(body)
-        return PeerState(term, bool(leads), bool(state_ok), body[_STATE.size :].decode())
+        term, leads, state_service_ok = _STATE.unpack_from(body)
+        return PeerState(term, bool(leads), bool(state_service_ok), body[_STATE.size :].decode())
     except (struct.error, UnicodeDecodeError):
         raise BadFrame("malformed PEER_STATE body") from None
 
@@ -111,14 +111,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
+class FleetSummary:
     """A leader's soft state: images per machine (GB each), and how long (s) each silent machine has not reported."""
 
     images: dict[str, dict[str, float]]
     silent: dict[str, float]
 
 
-def pack_fleet(fleet: Fleet, max_bytes: int = MAX_FRAME) -> tuple[bytes, int]:
+def pack_fleet(fleet: FleetSummary, max_bytes: int = MAX_FRAME) -> tuple[bytes, int]:
     """Encode the body of a FLEET_SUMMARY frame of at most `max_bytes` bytes.
 
     Returns the body and the number of machines whose images did not fit. All silent machines are included, since the
@@ -143,7 +143,7 @@
     return b"".join([_UINT16.pack(len(images)), *images, *silent]), len(fleet.images) - len(images)
 
 
-def parse_fleet(body: bytes) -> Fleet:
+def parse_fleet(body: bytes) -> FleetSummary:
     """Decode the body of a FLEET_SUMMARY frame. Raises BadFrame."""
     images: dict[str, dict[str, float]] = {}
     silent: dict[str, float] = {}
@@ -167,7 +167,7 @@
             offset += _FLOAT32.size
     except (struct.error, UnicodeDecodeError):
         raise BadFrame("malformed FLEET_SUMMARY body") from None
-    return Fleet(images, silent)
+    return FleetSummary(images, silent)
 
 
 def _pack_text(text: str) -> bytes:
@@ -206,19 +206,19 @@
     return proofs
 
 
-def pack_job(note: JobNote) -> bytes:
+def pack_job(note: RecordAnnouncement) -> bytes:
     """Encode the body of a JOB_RECORD frame."""
     ref = note.ref.encode()
     return _JOB_HEADER.pack(note.version, len(ref)) + ref + note.record
 
 
-def parse_job(body: bytes) -> JobNote:
+def parse_job(body: bytes) -> RecordAnnouncement:
     """Decode the body of a JOB_RECORD frame. Raises BadFrame."""
     try:
         version, length = _JOB_HEADER.unpack_from(body)
         ref = body[_JOB_HEADER.size : _JOB_HEADER.size + length]
         if len(ref) != length:
             raise BadFrame("malformed JOB_RECORD body")
-        return JobNote(version, ref.decode(), body[_JOB_HEADER.size + length :])
+        return RecordAnnouncement(version, ref.decode(), body[_JOB_HEADER.size + length :])
     except (struct.error, UnicodeDecodeError):
         raise BadFrame("malformed JOB_RECORD body") from None
--- a/winglift/wire/state.py
+++ b/winglift/wire/state.py
@@ -39,7 +39,7 @@
     lease: int | None = None
 
 
-class Drop(msgspec.Struct, frozen=True, rename={"key": "drop"}):
+class Delete(msgspec.Struct, frozen=True, rename={"key": "drop"}):
     """Delete a key."""
 
     key: str
--- a/winglift/wire/users.py
+++ b/winglift/wire/users.py
@@ -14,7 +14,7 @@
 
 from .. import constants
 
-REF = re.compile(r"wk-[0-9]{1,20}\Z")
+JOB_REF = re.compile(r"wk-[0-9]{1,20}\Z")
 
 
 class Kind(StrEnum):
@@ -51,7 +51,7 @@
     CANCELLED = "aborted"
 
 
-class Invalid(ValueError):
+class InvalidMessage(ValueError):
     """A malformed request; the message names the field."""
 
 
@@ -118,39 +118,39 @@
 _WIRE_NAMES = {field.name: field.encode_name for field in msgspec.structs.fields(Submission)}
 
 
-def is_ref(text: str) -> bool:
+def is_job_ref(text: str) -> bool:
     """Whether the text has the form of a job id."""
-    return REF.match(text) is not None
+    return JOB_REF.match(text) is not None
 
 
 def _check_name(field: str, value: str) -> None:
-    if not 0 < len(value) <= constants.MAX_NAME:
-        raise Invalid(f"{_WIRE_NAMES[field]}: expected 1 to {constants.MAX_NAME} characters")
+    if not 0 < len(value) <= constants.NAME_LENGTH_MAX:
+        raise InvalidMessage(f"{_WIRE_NAMES[field]}: expected 1 to {constants.NAME_LENGTH_MAX} characters")
 
 
 def parse_submission(body: bytes) -> Submission:
     """Decode and check a submission. Raises Invalid that names the field."""
-    if len(body) > constants.MAX_BODY:
-        raise Invalid("body: more than 64 KiB")
+    if len(body) > constants.REQUEST_BODY_MAX_BYTES:
+        raise InvalidMessage("body: more than 64 KiB")
     try:
         sub = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
-        raise Invalid(str(err)) from None
-    if not is_ref(sub.ref):
-        raise Invalid("ref: expected the form wk-000412")
+        raise InvalidMessage(str(err)) from None
+    if not is_job_ref(sub.ref):
+        raise InvalidMessage("ref: expected the form wk-000412")
     for field in _NAME_FIELDS:
         _check_name(field, getattr(sub, field))
     for field in _AMOUNT_FIELDS:
         value = getattr(sub, field)
-        if not math.isfinite(value) or not 0 <= value <= constants.MAX_AMOUNT:
-            raise Invalid(f"{_WIRE_NAMES[field]}: expected a finite number of at least 0")
-    if sub.due_s is not None and not (math.isfinite(sub.due_s) and 0 <= sub.due_s <= constants.MAX_AMOUNT):
-        raise Invalid("dueS: expected a finite number of at least 0, or null")
-    if not 1 <= sub.tasks <= constants.MAX_PIECES:
-        raise Invalid(f"pieces: expected 1 to {constants.MAX_PIECES}")
+        if not math.isfinite(value) or not 0 <= value <= constants.AMOUNT_MAX:
+            raise InvalidMessage(f"{_WIRE_NAMES[field]}: expected a finite number of at least 0")
+    if sub.due_s is not None and not (math.isfinite(sub.due_s) and 0 <= sub.due_s <= constants.AMOUNT_MAX):
+        raise InvalidMessage("dueS: expected a finite number of at least 0, or null")
+    if not 1 <= sub.tasks <= constants.TASKS_PER_JOB_MAX:
+        raise InvalidMessage(f"pieces: expected 1 to {constants.TASKS_PER_JOB_MAX}")
     if sub.types is not None:
-        if not 1 <= len(sub.types) <= constants.MAX_TYPES:
-            raise Invalid(f"rigTypes: expected null or 1 to {constants.MAX_TYPES} names")
+        if not 1 <= len(sub.types) <= constants.MACHINE_TYPES_PER_JOB_MAX:
+            raise InvalidMessage(f"rigTypes: expected null or 1 to {constants.MACHINE_TYPES_PER_JOB_MAX} names")
         for name in sub.types:
             _check_name("types", name)
     if sub.zone is not None:
--- a/winglift/wire/workers.py
+++ b/winglift/wire/workers.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from .. import constants
-from .users import Invalid, is_ref
+from .users import InvalidMessage, is_job_ref
 
 _MACHINE_NAME = re.compile(r"[A-Za-z0-9._-]{1,64}\Z")
 _ADDR = re.compile(r"[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}\Z")
@@ -25,7 +25,7 @@
     EXITED = "ended"
 
 
-class Why(StrEnum):
+class ExitReason(StrEnum):
     """Why a task has ended."""
 
     DONE = "done"
@@ -38,11 +38,11 @@
     UNKNOWN = "no_such"
 
 
-@lru_cache(maxsize=constants.TASK_NAMES_KEPT)
-def parse_task(name: str) -> tuple[str, int] | None:
+@lru_cache(maxsize=constants.TASK_NAME_CACHE_MAX)
+def parse_task_name(name: str) -> tuple[str, int] | None:
     """Job id and task number of a task name; None if malformed. Cached, since most names recur in the next report."""
     ref, _, number = name.partition("/")
-    if is_ref(ref) and number.isascii() and number.isdigit() and len(number) <= 6:
+    if is_job_ref(ref) and number.isascii() and number.isdigit() and len(number) <= 6:
         return ref, int(number)
     return None
 
@@ -67,7 +67,7 @@
 
     def key(self) -> tuple[str, int] | None:
         """Job id and task number, or None if the name is malformed."""
-        return parse_task(self.task)
+        return parse_task_name(self.task)
 
 
 class Report(
@@ -149,26 +149,26 @@
     try:
         report = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
-        raise Invalid(str(err)) from None
+        raise InvalidMessage(str(err)) from None
     if not _MACHINE_NAME.match(report.machine):
-        raise Invalid("rig: expected a machine name")
+        raise InvalidMessage("rig: expected a machine name")
     if not _ADDR.match(report.addr):
-        raise Invalid("endpoint: expected ip:port")
+        raise InvalidMessage("endpoint: expected ip:port")
     if report.session < 1 or report.seq < 0 or not 0 <= report.token < 2**64:
-        raise Invalid("shift, tick, baton: out of range")
+        raise InvalidMessage("shift, tick, baton: out of range")
     return report
 
 
-def run(task: str, attempt: int) -> Command:
+def run_command(task: str, attempt: int) -> Command:
     """The command that starts this attempt of a task."""
     return Command("run", task, attempt)
 
 
-def halt(task: str, attempt: int, grace_s: float) -> Command:
+def halt_command(task: str, attempt: int, grace_s: float) -> Command:
     """The command that stops this attempt, giving it `grace_s` seconds to save its state."""
     return Command("halt", task, attempt, grace_s)
 
 
-def reap(task: str, attempt: int) -> Command:
+def reap_command(task: str, attempt: int) -> Command:
     """The command that makes the worker drop an ended attempt from its reports."""
     return Command("reap", task, attempt)
