--- a/winglift/cli/client.py
+++ b/winglift/cli/client.py
@@ -18,7 +18,7 @@
     """The service refuses for good, or can't be reached in time."""
 
 
-class Server:
+class ControllerClient:
     """Several addresses, asked in turn: any node answers."""
 
     def __init__(self, addresses: str, patience_s: float = constants.CLIENT_RETRY_TIMEOUT_S) -> None:
@@ -30,7 +30,7 @@
         self._at = 0
         self._patience_s = patience_s
 
-    async def ask(self, method: str, path: str, body: bytes | None = None) -> Reply:
+    async def request_with_retry(self, method: str, path: str, body: bytes | None = None) -> Reply:
         """The answer, once there is one that counts. Requests with a 503 or without an answer are repeated."""
         end = time.monotonic() + self._patience_s
         while True:
@@ -55,7 +55,7 @@
         return _decode(flow_messages.reply_decoder, await self.good(method, path, body))
 
     async def good(self, method: str, path: str, body: bytes | None = None) -> Reply:
-        reply = await self.ask(method, path, body)
+        reply = await self.request_with_retry(method, path, body)
         if reply.status not in (200, 201):
             raise ServerError(f"{reply.status}: {_error(reply)}")
         return reply
--- a/winglift/cli/flow.py
+++ b/winglift/cli/flow.py
@@ -20,7 +20,7 @@
 from ..flows.values import FlowError
 from ..wire import flows as flow_messages
 from ..wire.flows import FlowReply, FlowState
-from .client import Server, ServerError
+from .client import ControllerClient, ServerError
 from .show import describe, display, draw, step_states
 
 UNSUPPORTED = 33
@@ -123,7 +123,7 @@
 
 async def _submit(
     found: Any,
-    server: Server,
+    server: ControllerClient,
     ref: str | None,
     team: str | None,
     due: float | None,
@@ -166,7 +166,7 @@
         return found
 
     async def work() -> int:
-        reply = await _submit(found, Server(server), ref, team, due, reuse, files)
+        reply = await _submit(found, ControllerClient(server), ref, team, due, reuse, files)
         out(reply) if as_json else click.echo(reply.ref)
         return 0
 
@@ -193,7 +193,7 @@
         return found
 
     async def work() -> int:
-        nodes = Server(server)
+        nodes = ControllerClient(server)
         reply = await _submit(found, nodes, ref, team, due, reuse, files)
         click.echo(f"{reply.ref} is accepted; it goes on without this command", err=True)
         with display() as shown:
@@ -210,7 +210,7 @@
     return run_async(work())
 
 
-async def _finish(reply: FlowReply, server: Server, files: str | None, outdir: str | None) -> int:
+async def _finish(reply: FlowReply, server: ControllerClient, files: str | None, outdir: str | None) -> int:
     if reply.state is not FlowState.DONE or reply.outputs is None:
         click.echo(f"winglift: {reply.ref} {reply.state.value}: {reply.cause or 'by its user'}", err=True)
         if reply.errors:
@@ -262,7 +262,7 @@
     """State of a workflow and of its steps."""
 
     async def work() -> int:
-        reply = await Server(server).flow(ref)
+        reply = await ControllerClient(server).flow(ref)
         out(reply) if as_json else _print(reply)
         return 0
 
@@ -277,7 +277,7 @@
     """Cancel a workflow: nothing of it starts later. What has ended keeps its outputs."""
 
     async def work() -> int:
-        reply = await Server(server).reply("POST", f"/flows/{ref}/abort", b"")
+        reply = await ControllerClient(server).reply("POST", f"/flows/{ref}/abort", b"")
         out(reply) if as_json else click.echo(f"{reply.ref}  {reply.state.value}")
         return 0 if reply.state is FlowState.CANCELLED else 1
 
@@ -291,7 +291,7 @@
     """All workflows, by id."""
 
     async def work() -> int:
-        found = await Server(server).flows()
+        found = await ControllerClient(server).flows()
         if as_json:
             out(found)
         else:
@@ -320,7 +320,7 @@
 
     async def work() -> int:
         if flow_messages.is_flow_ref(what):
-            nodes_ = Server(server)
+            nodes_ = ControllerClient(server)
             reply = await nodes_.flow(what)
             store = UploadStoreClient(*parse_addr(files or await nodes_.files(), "--files"))
             try:
--- a/winglift/cwl/load.py
+++ b/winglift/cwl/load.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Checked:
+class CheckedWorkflow:
     plan: Plan
     order: dict[str, Any]
     nodes: dict[str, Node]
@@ -176,7 +176,7 @@
                         raise CwlError(f"{where}: {err}") from None
 
 
-def _try_start(checked: Checked) -> None:
+def _try_start(checked: CheckedWorkflow) -> None:
     """Begin the workflow as the leader would: what can be known of its first steps is known now."""
     engine = Engine(checked.plan, checked.order, JavaScriptEngine(CHECK_S))
     call: Callable[[], object] = engine.start
@@ -197,7 +197,7 @@
             engine.evaluate(leaf)
 
 
-def check(file: str, order_file: str | None) -> Checked:
+def check(file: str, order_file: str | None) -> CheckedWorkflow:
     """Read a document and an order (None: no inputs are looked at). Raises CwlError and Unsupported with file, line
     and reason."""
     place, resolver = Place(), Resolver()
@@ -225,7 +225,7 @@
     main = plan.processes[plan.main]
     if order_file is not None:
         order = read_order(read_yaml(order_file), order_file, main.inputs, resolver, place)
-    checked = Checked(plan, order, nodes, resolver.blobs)
+    checked = CheckedWorkflow(plan, order, nodes, resolver.blobs)
     if order_file is not None:
         try:
             _try_start(checked)
