--- a/standins/trial.py
+++ b/standins/local_services.py
@@ -24,7 +24,7 @@
     return sock
 
 
-class Stage:
+class LocalServices:
     """Serves within the running event loop, for `count` controllers. Tasks run for as long as `run_s` says; with a
     folder for them, described ones run as processes. `more` is added to the controllers' settings."""
 
--- a/winglift/cli/trial.py
+++ b/winglift/cli/trial.py
@@ -52,12 +52,12 @@
 def trial(nodes: str, demo: bool) -> int:
     """Start stand-ins and controllers on loopback, and print their addresses. Machines are simulated."""
     try:
-        from standins import trial as stage
+        from standins import local_services
     except ModuleNotFoundError:
         raise click.ClickException("the stand-ins are part of the repository: call this in a checkout") from None
     with tempfile.TemporaryDirectory(prefix="winglift-") as folder:
         try:
-            return asyncio.run(_serve(stage, pathlib.Path(folder), int(nodes), demo))
+            return asyncio.run(_serve(local_services, pathlib.Path(folder), int(nodes), demo))
         except ServerError as err:
             print(f"winglift: {err}", file=sys.stderr)
             return 1
@@ -65,7 +65,7 @@
             return 0
 
 
-async def _serve(stage: Any, folder: pathlib.Path, count: int, demo: bool) -> int:
+async def _serve(local_services: Any, folder: pathlib.Path, count: int, demo: bool) -> int:
     # Workers and nodes end together here: what they say of one another then is of no use.
     logging.getLogger("tornado.application").setLevel(logging.CRITICAL)
     flows = importlib.util.find_spec("quickjs") is not None
@@ -73,7 +73,7 @@
     me = asyncio.current_task()
     assert me is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, me.cancel)
-    made = stage.Stage(count, lambda task: 1.0, folder / "tasks" if flows else None)
+    made = local_services.LocalServices(count, lambda task: 1.0, folder / "tasks" if flows else None)
     workflows = folder / "workflows.toml"
     workflows.write_text(made.workflows())
     environment = os.environ | {
