--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -10,10 +10,11 @@
 
 import pytest
 import test_end_of_day as day
-from hypothesis import given
+from hypothesis import example, given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
+from standins.history import UserAnswer
 from standins.network import Cut, Message
 from standins.simulation import Simulation
 from winglift.model import report_reconciliation
@@ -152,6 +153,7 @@
 
 # The profile is derandomized: the drawn examples depend on the source text of this function.
 @hypothesis_settings(max_examples=8, deadline=None)
+@example([("outage", 1.0, 13.0)])
 @given(st.lists(st.tuples(st.sampled_from(FAULTS), st.floats(0.5, 25.0), st.floats(0.1, 25.0)), min_size=1, max_size=4))
 def test_after_any_course_of_troubles_each_accepted_job_is_known_at_every_node(course):
     simulation = day.begun(run_s=15.0)
@@ -172,6 +174,18 @@
     assert simulation.run_until_ended(sorted(simulation.accepted), 150.0) and not simulation.rule_violations
 
 
+def test_a_404_counts_as_forgotten_unless_the_job_was_not_accepted_before_the_request():
+    simulation = day.begun()
+    simulation.history.append(UserAnswer("wk-1", "submit", "10.0.0.1", 5.0, 5.1, 201, "queued"))
+    for method, path in (("POST", "/work/wk-1/abort"), ("GET", "/work/wk-1")):
+        assert simulation.is_wrongly_refused(method, path, 404, 5.1)
+        assert not simulation.is_wrongly_refused(method, path, 404, 5.0)
+        assert simulation.is_wrongly_refused(method, path, 400, 5.0)
+        assert simulation.is_wrongly_refused(method, path, 422, 5.0)
+        assert not simulation.is_wrongly_refused(method, path, 503, 6.0)
+    assert simulation.is_wrongly_refused("POST", "/work", 404, 5.0)
+
+
 # -- removed guards ----------------------------------------------------------------------------
 
 
