--- a/standins/flow_leader.py
+++ b/standins/flow_leader.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from winglift.config.settings import Settings
-from winglift.flows.expressions import Engines
+from winglift.flows.expressions import JavaScriptEngine
 from winglift.wire import flows as flow_messages
 from winglift.wire import state as state_messages
 from winglift.wire.cloud import MachineType
@@ -103,7 +103,7 @@
         self._types = types
         self.state: Any = service
         self.files: Any = uploads
-        self.engines = Engines()
+        self.javascript_engine = JavaScriptEngine()
         self.open_jobs_max = 3
         self.fencing_token = service.service.version("leader")  # the leadership key's revision at the start of its term
 
--- a/standins/flowlab.py
+++ b/standins/flowlab.py
@@ -148,12 +148,12 @@
         plan=await uploads.put(flow_messages.encode(plan)),
         order=await uploads.put(msgspec.json.encode(order)),
     )
-    service.apply([{"write": "flow/fl-1", "v": msgspec.to_builtins(records.Head(sub, time.time()))}])
+    service.apply([{"write": "flow/fl-1", "v": msgspec.to_builtins(records.FlowRecord(sub, time.time()))}])
     leader = StandInLeader(client, uploads, SETTINGS, TYPES)
     leader.open_jobs_max = 100
     item = await client.get("flow/fl-1")
     assert item is not None
-    run = FlowRun(leader, records.decode_head(item.value), item.version)
+    run = FlowRun(leader, records.decode_flow_record(item.value), item.version)
     cpu_s, revisions, client.requests = 0.0, 0, 0
     monitor = EventLoopMonitor()
     start = time.process_time()
@@ -175,7 +175,7 @@
     largest_value = max(len(msgspec.json.encode(v)) for v, _, _ in service.keys.values())
     # The takeover by a new leader: it rebuilds the state from the records.
     start = time.process_time()
-    rebuilt = FlowRun(leader, records.decode_head(item.value), item.version)
+    rebuilt = FlowRun(leader, records.decode_flow_record(item.value), item.version)
     await rebuilt.load()
     return {
         "shape": shape,
--- a/winglift/flows/command.py
+++ b/winglift/flows/command.py
@@ -12,7 +12,7 @@
 
 from ..wire.flows import TASK_DIR, UPLOAD_PREFIX, Binding, InputFile, Output, Param, TaskDescription, TaskResult, Tool
 from .expressions import Evaluator, ExpressionError
-from .values import FlowError, describe, fits
+from .values import FlowError, describe_type, matches_type
 
 OUTPUT_DIR = f"{TASK_DIR}/out"
 TEMP_DIR = f"{TASK_DIR}/tmp"
@@ -49,7 +49,7 @@
     return [add_name_fields(v) for v in value] if isinstance(value, list) else value
 
 
-class Builder:
+class TaskBuilder:
     """Builds the task of one element, and later its outputs."""
 
     def __init__(self, tool: Tool, inputs: dict[str, Any], evaluate: Evaluator, where: str) -> None:
@@ -266,15 +266,15 @@
                 files = add_name_fields(result.outputs.get(output.name, []))
                 if output.evaluate is not None:
                     value = self.evaluate_text(output.evaluate, files)
-                elif fits(files, output.type) and isinstance(output.type, dict):
+                elif matches_type(files, output.type) and isinstance(output.type, dict):
                     value = files
                 else:
-                    value = files if fits(files, output.type) else files[0] if len(files) == 1 else None
+                    value = files if matches_type(files, output.type) else files[0] if len(files) == 1 else None
                     if value is None and files:
                         raise FlowError(f"{self.where}/{output.name}: {len(files)} files found, expected one")
-            if not fits(value, output.type):
+            if not matches_type(value, output.type):
                 raise FlowError(
-                    f"{self.where}/{output.name}: expected {describe(output.type)}"
+                    f"{self.where}/{output.name}: expected {describe_type(output.type)}"
                     + ("" if value is not None else ", found nothing")
                 )
             outputs[output.name] = value
--- a/winglift/flows/driver.py
+++ b/winglift/flows/driver.py
@@ -17,8 +17,8 @@
 from ..wire.flows import FlowState
 from ..wire.users import InvalidMessage
 from . import records
-from .expressions import Engines
-from .files import Files, FilesError
+from .expressions import JavaScriptEngine
+from .files import UploadStoreClient, UploadStoreError
 from .leader import StepFailed, Superseded
 from .run import FlowRun
 from .settings import FlowSettings
@@ -26,23 +26,28 @@
 
 log = logging.getLogger(__name__)
 
-RETRIABLE_ERRORS = (RequestRejected, OutcomeUnknown, LeaseExpired, FilesError, TemporarilyUnavailable)
+RETRIABLE_ERRORS = (RequestRejected, OutcomeUnknown, LeaseExpired, UploadStoreError, TemporarilyUnavailable)
 
 
 class Driver:
     """Drives the workflows for one term; after `stop` it writes nothing more."""
 
     def __init__(
-        self, controller: LeaderTerm, jobs: Jobs, files: Files, engines: Engines, settings: FlowSettings
+        self,
+        controller: LeaderTerm,
+        jobs: Jobs,
+        files: UploadStoreClient,
+        javascript_engine: JavaScriptEngine,
+        settings: FlowSettings,
     ) -> None:
         self.controller = controller
         self.settings = controller.settings
         self.state = controller.state
         self.files = files
-        self.engines = engines
+        self.javascript_engine = javascript_engine
         self.open_jobs_max = settings.open_jobs
         self._jobs = jobs
-        self._flow_records: dict[str, tuple[int, records.Head]] = {}
+        self._flow_records: dict[str, tuple[int, records.FlowRecord]] = {}
         self._flow_tasks: dict[str, asyncio.Task[None]] = {}
         self._wake_ups: dict[str, asyncio.Event] = {}
         self._watch_task = asyncio.ensure_future(self._watch_records())
@@ -83,11 +88,11 @@
     async def _watch_records(self) -> None:
         while True:
             try:
-                items, revision = await self.state.list(records.HEAD)
+                items, revision = await self.state.list(records.FLOW_PREFIX)
                 for item in items:
                     self._apply_record(item.key, item.version, item.value)
                 while True:
-                    changes = await self.state.changes(records.HEAD, revision)
+                    changes = await self.state.changes(records.FLOW_PREFIX, revision)
                     for event in changes.events:
                         if event.put is not None:
                             self._apply_record(event.put, event.version, event.value)
@@ -97,9 +102,9 @@
                 await asyncio.sleep(0.5)
 
     def _apply_record(self, key: str, version: int, value) -> None:  # type: ignore[no-untyped-def]
-        ref = key.removeprefix(records.HEAD)
+        ref = key.removeprefix(records.FLOW_PREFIX)
         try:
-            record = records.decode_head(value)
+            record = records.decode_flow_record(value)
         except records.InvalidRecord as err:
             log.error("record invalid, ignored: workflow=%s error=%s", ref, err)
             return
@@ -167,10 +172,10 @@
             if versioned is not None and not (versioned[1].state is FlowState.DONE or versioned[1].jobs_cancelled):
                 asyncio.get_running_loop().call_later(5.0, self._restart, ref, *versioned)
 
-    def _restart(self, ref: str, version: int, record: records.Head) -> None:
+    def _restart(self, ref: str, version: int, record: records.FlowRecord) -> None:
         """Restart a run that ended by an unexpected exception, unless this term has ended."""
         if not self._watch_task.done() and ref not in self._flow_tasks:
-            self._apply_record(records.HEAD + ref, version, job_records.encode(record))  # type: ignore[arg-type]
+            self._apply_record(records.FLOW_PREFIX + ref, version, job_records.encode(record))  # type: ignore[arg-type]
 
     async def _fail(self, run: FlowRun, err: Exception) -> None:
         log.debug("%s: %s", run.ref, err)
@@ -184,9 +189,9 @@
 
     async def _refresh_record(self, ref: str) -> None:
         try:
-            item = await self.state.get(records.HEAD + ref)
+            item = await self.state.get(records.FLOW_PREFIX + ref)
             if item is not None:
-                self._apply_record(records.HEAD + ref, item.version, item.value)
+                self._apply_record(records.FLOW_PREFIX + ref, item.version, item.value)
         except (RequestRejected, OutcomeUnknown) as err:
             log.debug("%s: %s", ref, err)
 
--- a/winglift/flows/engine.py
+++ b/winglift/flows/engine.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from ..wire.flows import UPLOAD_PREFIX, Expression, FlowOutput, Hints, Param, Plan, Step, Tool, Workflow
-from .expressions import Engines, Evaluator, ExpressionError
-from .values import FlowError, describe, find_files, fits, merge_sources, nest_values, scatter_inputs
+from .expressions import Evaluator, ExpressionError, JavaScriptEngine
+from .values import FlowError, describe_type, find_files, matches_type, merge_sources, nest_values, scatter_inputs
 
 
 class StepState(Enum):
@@ -40,7 +40,7 @@
 }
 
 
-class Needs(Exception):
+class ContentNeeded(Exception):
     """The engine needs the content of the file with this digest to continue."""
 
     def __init__(self, digest: str) -> None:
@@ -93,13 +93,13 @@
 
 
 class Engine:
-    """Usage: `start()`; then repeatedly `go()`, `take()`, and `complete_step()` for each ended leaf."""
+    """Usage: `start()`; then repeatedly `advance()`, `take_ready()`, and `complete_step()` for each ended leaf."""
 
-    def __init__(self, plan: Plan, order: dict[str, Any], engines: Engines) -> None:
+    def __init__(self, plan: Plan, order: dict[str, Any], javascript_engine: JavaScriptEngine) -> None:
         self.plan = plan
         self.order = order
-        self.engines = engines
-        self.contents: dict[str, str] = {}  # of the files that `Needs` asked for, by digest
+        self.javascript_engine = javascript_engine
+        self.contents: dict[str, str] = {}  # of the files that `ContentNeeded` asked for, by digest
         self.outputs: dict[str, Any] | None = None  # known once all steps have ended
         self._ready_leaves: list[Leaf] = []
         self._prepare_queue: deque[StepInstance] = deque()
@@ -110,7 +110,9 @@
         evaluator = self._evaluators.get(process_key)
         if evaluator is None:
             process = self.plan.processes[process_key]
-            evaluator = self._evaluators[process_key] = Evaluator(self.engines, process.javascript, process.library)
+            evaluator = self._evaluators[process_key] = Evaluator(
+                self.javascript_engine, process.javascript, process.library
+            )
         return evaluator
 
     def start(self) -> None:
@@ -120,7 +122,7 @@
             raise FlowError("the plan's main process is not a workflow")
         self._start_workflow(self.plan.main, "", self.order, Hints(), None)
 
-    def go(self, steps_max: int | None = None) -> bool:
+    def advance(self, steps_max: int | None = None) -> bool:
         """Prepare the steps whose inputs are known, at most `steps_max`; return whether others are left.
 
         Raises FlowError, and ContentNeeded: it is to be called again once the content is in `contents`.
@@ -136,7 +138,7 @@
             self._prepare_queue.popleft()
         return bool(self._prepare_queue)
 
-    def take(self) -> list[Leaf]:
+    def take_ready(self) -> list[Leaf]:
         """Return the leaves that became ready since the last call."""
         leaves, self._ready_leaves = self._ready_leaves, []
         return leaves
@@ -153,8 +155,8 @@
             if not isinstance(result, dict):
                 raise FlowError(f"{leaf.path}: the expression does not return an object")
             for output in process.outputs:
-                if not fits(result.get(output.name), output.type):
-                    raise FlowError(f"{leaf.path}/{output.name}: expected {describe(output.type)}")
+                if not matches_type(result.get(output.name), output.type):
+                    raise FlowError(f"{leaf.path}/{output.name}: expected {describe_type(output.type)}")
             results.append({o.name: result.get(o.name) for o in process.outputs})
         return results
 
@@ -203,8 +205,8 @@
     def _workflow_output(self, frame: Frame, output: FlowOutput) -> Any:
         where = f"{frame.path}/{output.name}" if frame.path else output.name
         value = merge_sources(output.source, frame.values, output.several, output.merge, output.pick, where)
-        if not fits(value, output.type):
-            raise FlowError(f"{where}: expected {describe(output.type)}")
+        if not matches_type(value, output.type):
+            raise FlowError(f"{where}: expected {describe_type(output.type)}")
         return value
 
     def _finish_step(self, instance: StepInstance, event: StepEvent = StepEvent.ENDED) -> None:
@@ -239,7 +241,7 @@
             if "contents" not in file:
                 digest = file["location"].removeprefix(UPLOAD_PREFIX)
                 if digest not in self.contents:
-                    raise Needs(digest)
+                    raise ContentNeeded(digest)
         if isinstance(value, dict) and value.get("class") == "File" and "contents" not in value:
             return value | {"contents": self.contents[value["location"].removeprefix(UPLOAD_PREFIX)]}
         if isinstance(value, list):
@@ -253,8 +255,8 @@
             value = given.get(param.name)
             if value is None:
                 value = param.default
-            if not fits(value, param.type):
-                raise FlowError(f"{where}/{param.name}: expected {describe(param.type)}".lstrip("/"))
+            if not matches_type(value, param.type):
+                raise FlowError(f"{where}/{param.name}: expected {describe_type(param.type)}".lstrip("/"))
             checked[param.name] = self._load_contents(value) if param.load else value
         return checked
 
@@ -295,7 +297,7 @@
                 if not condition:
                     continue
             elements_to_run.append((index, inputs))
-        # Loads the contents: nothing below raises `Needs`, so the state of the step changes only once.
+        # Loads the contents: nothing below raises `ContentNeeded`, so the state of the step changes only once.
         checked = [(index, self._check_inputs(process.inputs, i, instance.path)) for index, i in elements_to_run]
         instance.shape = shape
         instance.results = [{} for _ in element_inputs]
--- a/winglift/flows/expressions.py
+++ b/winglift/flows/expressions.py
@@ -24,7 +24,7 @@
     """An expression can't be evaluated; the message contains it."""
 
 
-class Endless(ExpressionError):
+class ExpressionTimeout(ExpressionError):
     """An expression exceeded its time limit."""
 
 
@@ -112,7 +112,7 @@
 _REMOVE_CLOCK_AND_RANDOM = "delete globalThis.Date; Math.random = undefined;"
 
 
-class Engines:
+class JavaScriptEngine:
     """The JavaScript interpreter: a few contexts, each kept for one expression library."""
 
     def __init__(
@@ -154,7 +154,7 @@
             self._contexts.pop(library, None)
             reason = str(err).splitlines()[0]
             if "interrupted" in reason:
-                raise Endless(f"{expression}: did not end within {self.time_s:g} s") from None
+                raise ExpressionTimeout(f"{expression}: did not end within {self.time_s:g} s") from None
             raise ExpressionError(f"{expression}: {reason}") from None
         return None if result is None else msgspec.json.decode(result)
 
@@ -162,8 +162,10 @@
 class Evaluator:
     """Evaluates the parameter references and expressions of one process."""
 
-    def __init__(self, engines: Engines, javascript: bool, library: list[str] | tuple[str, ...] = ()) -> None:
-        self._engines = engines
+    def __init__(
+        self, javascript_engine: JavaScriptEngine, javascript: bool, library: list[str] | tuple[str, ...] = ()
+    ) -> None:
+        self._engines = javascript_engine
         self._javascript = javascript
         self._library = tuple(library)
 
--- a/winglift/flows/files.py
+++ b/winglift/flows/files.py
@@ -18,15 +18,15 @@
 from ..wire import flows as flow_messages
 
 
-class FilesError(Exception):
+class UploadStoreError(Exception):
     """A request to the upload store failed; it can be repeated."""
 
 
-class Missing(FilesError):
+class UploadNotFound(UploadStoreError):
     """The upload store does not have the requested content."""
 
 
-class Files:
+class UploadStoreClient:
     """Client of the upload store."""
 
     def __init__(self, host: str, port: int) -> None:
@@ -41,11 +41,11 @@
                 # All requests are idempotent, and the server may have closed a pooled connection.
                 reply = await self._http.request(method, path, body, constants.FILES_TIMEOUT_S)
         except Unanswered as err:
-            raise FilesError(f"upload store: {err}") from None
+            raise UploadStoreError(f"upload store: {err}") from None
         if reply.status == 404:
-            raise Missing(f"upload store: not found: {path}")
+            raise UploadNotFound(f"upload store: not found: {path}")
         if reply.status != 200:
-            raise FilesError(f"upload store: status {reply.status} for {path}")
+            raise UploadStoreError(f"upload store: status {reply.status} for {path}")
         return reply.body
 
     async def put(self, content: bytes) -> str:
@@ -60,7 +60,7 @@
         """Fetch a content and check its digest."""
         content = await self._call("GET", f"/blobs/{digest}")
         if hashlib.sha256(content).hexdigest() != digest:
-            raise FilesError(f"upload store: content does not match digest {digest}")
+            raise UploadStoreError(f"upload store: content does not match digest {digest}")
         return content
 
     async def put_task_descriptions(
@@ -78,7 +78,7 @@
             try:
                 page = flow_messages.task_results_decoder.decode(body)
             except msgspec.DecodeError as err:
-                raise FilesError(f"upload store: unreadable results of {job}: {err}") from None
+                raise UploadStoreError(f"upload store: unreadable results of {job}: {err}") from None
             items += page.items
             if not page.more or not page.items:
                 return items
--- a/winglift/flows/graph.py
+++ b/winglift/flows/graph.py
@@ -115,7 +115,7 @@
     return plan, graph(plan)
 
 
-def plain(path: str) -> str:
+def graph_path(path: str) -> str:
     """The path of a step instance in the graph, without scatter indices: "a[3]/b" is an instance of "a/b"."""
     return "/".join(part.partition("[")[0] for part in path.split("/"))
 
--- a/winglift/flows/leader.py
+++ b/winglift/flows/leader.py
@@ -10,8 +10,8 @@
 from ..store.client import StateClient
 from ..wire import state as state_messages
 from ..wire.cloud import MachineType
-from .expressions import Engines
-from .files import Files
+from .expressions import JavaScriptEngine
+from .files import UploadStoreClient
 from .values import FlowError
 
 
@@ -32,8 +32,8 @@
 
     settings: Settings
     state: StateClient
-    files: Files
-    engines: Engines
+    files: UploadStoreClient
+    javascript_engine: JavaScriptEngine
     open_jobs_max: int
 
     def machine_types(self) -> dict[str, MachineType]:
--- a/winglift/flows/parts.py
+++ b/winglift/flows/parts.py
@@ -8,7 +8,7 @@
 from .. import constants
 from ..wire.flows import Hints, Tool
 from ..wire.users import InvalidMessage, Kind, Priority, Submission, encode, parse_submission
-from .command import Builder, BuiltTask, TaskResources
+from .command import BuiltTask, TaskBuilder, TaskResources
 from .engine import Engine, Leaf
 from .values import FlowError, digest, job_ref, strip_run_details
 
@@ -23,12 +23,12 @@
     built_tasks: list[BuiltTask]
 
 
-def create_task_builder(engine: Engine, leaf: Leaf, index: int) -> Builder:
+def create_task_builder(engine: Engine, leaf: Leaf, index: int) -> TaskBuilder:
     """Create the builder of the task of one element."""
     tool = engine.plan.processes[leaf.process]
     assert isinstance(tool, Tool)
     where = leaf.path if leaf.instance.shape is None else f"{leaf.path}[{leaf.instance.indices[index]}]"
-    return Builder(tool, leaf.elements[index], engine.evaluator(leaf.process), where)
+    return TaskBuilder(tool, leaf.elements[index], engine.evaluator(leaf.process), where)
 
 
 async def build_step_jobs(engine: Engine, flow: str, leaf: Leaf) -> list[StepJob]:
--- a/winglift/flows/records.py
+++ b/winglift/flows/records.py
@@ -16,11 +16,11 @@
 
 T = TypeVar("T")
 
-HEAD = "flow/"
+FLOW_PREFIX = "flow/"
 STEP_PREFIX = "flowstep/"
 
 
-class Head(msgspec.Struct, omit_defaults=True, rename={"jobs_cancelled": "tidy", "steps_removed": "swept"}):
+class FlowRecord(msgspec.Struct, omit_defaults=True, rename={"jobs_cancelled": "tidy", "steps_removed": "swept"}):
     """The record of a workflow.
 
     `jobs_cancelled`: it has ended, and no job of it is open any more. `steps_removed`: its step records have been
@@ -55,7 +55,7 @@
     tasks: int = 1
 
 
-_flow_decoder = msgspec.json.Decoder(Head)
+_flow_decoder = msgspec.json.Decoder(FlowRecord)
 _step_decoder = msgspec.json.Decoder(StepRecord)
 
 
@@ -66,11 +66,11 @@
         raise InvalidRecord(str(err)) from None
 
 
-def decode_head(value: bytes | msgspec.Raw) -> Head:
+def decode_flow_record(value: bytes | msgspec.Raw) -> FlowRecord:
     return _decode(_flow_decoder, value)
 
 
-def decode_step(value: bytes | msgspec.Raw) -> StepRecord:
+def decode_step_record(value: bytes | msgspec.Raw) -> StepRecord:
     return _decode(_step_decoder, value)
 
 
@@ -91,7 +91,7 @@
     return step_prefix(flow) + job_ref(flow, path, "step").removeprefix("wk-")
 
 
-def build_reply(record: Head, **details: Any) -> FlowReply:
+def build_reply(record: FlowRecord, **details: Any) -> FlowReply:
     return FlowReply(
         record.sub.ref,
         record.state,
--- a/winglift/flows/run.py
+++ b/winglift/flows/run.py
@@ -25,9 +25,9 @@
 from ..wire import state as state_messages
 from ..wire.flows import Expression, FlowState, StepOutcome, TaskResultItem, Tool
 from . import records
-from .engine import Engine, Leaf, Needs
-from .files import FilesError
-from .graph import DeadlineDivision, Node, parse_graph, plain
+from .engine import ContentNeeded, Engine, Leaf
+from .files import UploadStoreError
+from .graph import DeadlineDivision, Node, graph_path, parse_graph
 from .leader import Leader, StepFailed, Superseded
 from .parts import StepJob, build_step_jobs, build_submission, create_task_builder, reuse_key
 from .values import FlowError
@@ -48,7 +48,7 @@
 class FlowRun:
     """One workflow on the leader."""
 
-    def __init__(self, leader: Leader, flow_record: records.Head, version: int) -> None:
+    def __init__(self, leader: Leader, flow_record: records.FlowRecord, version: int) -> None:
         self.leader = leader
         self.ref = flow_record.sub.ref
         self.flow_record = flow_record
@@ -78,12 +78,12 @@
         for flow, target in ((self.ref, self.step_records), (sub.reuse, self.reusable_records)):
             if flow is not None:
                 for item in (await leader.state.list(records.step_prefix(flow)))[0]:
-                    record = records.decode_step(item.value)
+                    record = records.decode_step_record(item.value)
                     if target is self.step_records:
                         target[record.path] = record
                     elif record.how is StepOutcome.DONE and record.key:
                         target[record.key] = record
-        self.engine = Engine(plan, order, leader.engines)
+        self.engine = Engine(plan, order, leader.javascript_engine)
         await self._advance_engine(self.engine.start)
         await self._sort_leaves()
         self._possibly_submitted = {leaf.path for leaf in self.unsubmitted}
@@ -98,16 +98,16 @@
                         call()
                         call = None
                     # A wide graph has thousands of ready steps: yield to the leader's other work in between.
-                    while self.engine.go(constants.FLOW_STEP_BATCH_MAX):
+                    while self.engine.advance(constants.FLOW_STEP_BATCH_MAX):
                         await asyncio.sleep(0)
                     return
-                except Needs as need:
+                except ContentNeeded as need:
                     content = await self.leader.files.get(need.digest)
                     if len(content) > constants.LOAD_CONTENTS_MAX_BYTES:
                         raise FlowError(f"loadContents: more than {constants.LOAD_CONTENTS_MAX_BYTES} bytes") from None
                     self.engine.contents[need.digest] = content.decode(errors="replace")
         finally:
-            self._unsorted_leaves.extend(self.engine.take())
+            self._unsorted_leaves.extend(self.engine.take_ready())
 
     async def _sort_leaves(self) -> None:
         """Apply the records of ready steps that have already ended; the others are to be submitted."""
@@ -131,10 +131,10 @@
             assert record.digest is not None
             try:
                 results = msgspec.json.decode(await self.leader.files.get(record.digest), type=list[dict[str, Any]])
-            except FilesError:
+            except UploadStoreError:
                 self._unsorted_leaves.appendleft(leaf)
                 raise
-        path = plain(leaf.path)
+        path = graph_path(leaf.path)
         self._end_times[path] = max(self._end_times.get(path, 0.0), record.ended)
         self._sub_deadlines = None
         self._machines.setdefault(path, set()).update(record.machines)
@@ -144,7 +144,7 @@
     async def _commit(self, changes: list[Any], absent: str | None = None) -> int | None:
         """Commit; return the revision, or None if the key `absent` exists. Raises Superseded if other keys changed."""
         leader = self.leader
-        conditions = [leader.fence_condition(), state_messages.Condition(records.HEAD + self.ref, self.version)]
+        conditions = [leader.fence_condition(), state_messages.Condition(records.FLOW_PREFIX + self.ref, self.version)]
         if absent is not None:
             conditions.append(state_messages.Condition(absent, 0))
         try:
@@ -157,8 +157,8 @@
             return None
         raise Superseded(f"{self.ref}: {', '.join(result.failed)} changed")
 
-    async def _write_flow_record(self, flow_record: records.Head) -> None:
-        revision = await self._commit([state_messages.Put(records.HEAD + self.ref, flow_record)])
+    async def _write_flow_record(self, flow_record: records.FlowRecord) -> None:
+        revision = await self._commit([state_messages.Put(records.FLOW_PREFIX + self.ref, flow_record)])
         assert revision is not None  # None needs `absent`
         self.flow_record, self.version = flow_record, revision
 
@@ -228,7 +228,7 @@
             return
         step = SubmittedStep(leaf, await build_step_jobs(self.engine, self.ref, leaf), key)
         due = self._sub_deadline(leaf, step.jobs)
-        nearby = frozenset().union(*(self._machines.get(p, set()) for p in self.nodes[plain(leaf.path)].parents))
+        nearby = frozenset().union(*(self._machines.get(p, set()) for p in self.nodes[graph_path(leaf.path)].parents))
         for job in step.jobs:
             await self._submit(job, process, leaf, due, nearby)
         self.submitted[leaf.path] = step
@@ -236,7 +236,7 @@
     def _sub_deadline(self, leaf: Leaf, jobs: list[StepJob]) -> float | None:
         """Sub-deadline of a step by the progress so far, as time of day; None: the workflow has no deadline."""
         sub = self.flow_record.sub
-        path = plain(leaf.path)
+        path = graph_path(leaf.path)
         team = next((t for t in self.leader.settings.settings.teams if t.name == (leaf.hints.team or sub.team)), None)
         rounds = 0.0
         for job in jobs:
--- a/winglift/flows/service.py
+++ b/winglift/flows/service.py
@@ -21,11 +21,11 @@
 from ..wire.users import InvalidMessage, JobStatus
 from . import records
 from .driver import Driver
-from .expressions import Engines
-from .files import Files, FilesError, Missing
-from .graph import Node, parse_graph, plain
+from .expressions import JavaScriptEngine
+from .files import UploadNotFound, UploadStoreClient, UploadStoreError
+from .graph import Node, graph_path, parse_graph
 from .settings import FlowSettings
-from .sweep import OldSteps
+from .sweep import StepRecordSweeper
 from .values import FlowError, job_ref
 
 log = logging.getLogger(__name__)
@@ -42,14 +42,14 @@
     """The id belongs to another workflow (409)."""
 
 
-class Flows:
+class FlowService:
     """The workflow extension of a node."""
 
     def __init__(self, settings: FlowSettings, node: Host) -> None:
         self.node = node
         self.settings = settings
-        self.files = Files(*parse_addr(settings.files, "files"))
-        self.engines = Engines(settings.expressions.time_s, settings.expressions.memory_mb)
+        self.files = UploadStoreClient(*parse_addr(settings.files, "files"))
+        self.javascript_engine = JavaScriptEngine(settings.expressions.time_s, settings.expressions.memory_mb)
         self.driver: Driver | None = None
         self._graphs: OrderedDict[str, dict[str, Node]] = OrderedDict()
 
@@ -68,8 +68,8 @@
 
     def on_leadership_gained(self, controller: LeaderTerm) -> None:
         """Start the driver for this term."""
-        self.driver = Driver(controller, self.jobs, self.files, self.engines, self.settings)
-        controller.garbage_collector.sweepers.append(OldSteps(controller.state))
+        self.driver = Driver(controller, self.jobs, self.files, self.javascript_engine, self.settings)
+        controller.garbage_collector.sweepers.append(StepRecordSweeper(controller.state))
 
     def on_leadership_lost(self) -> None:
         """Stop the driver."""
@@ -87,12 +87,12 @@
                 self._graphs.popitem(last=False)
         return self._graphs[plan]
 
-    async def _read_record(self, ref: str) -> tuple[records.Head, int] | None:
+    async def _read_record(self, ref: str) -> tuple[records.FlowRecord, int] | None:
         try:
-            item = await self.node.state.get(records.HEAD + ref, timeout=constants.STATUS_TIMEOUT_S)
+            item = await self.node.state.get(records.FLOW_PREFIX + ref, timeout=constants.STATUS_TIMEOUT_S)
         except (RequestRejected, OutcomeUnknown) as err:
             raise TemporarilyUnavailable(str(err)) from None
-        return None if item is None else (records.decode_head(item.value), item.version)
+        return None if item is None else (records.decode_flow_record(item.value), item.version)
 
     async def submit(self, sub: FlowSubmission) -> tuple[int, FlowReply]:
         """Accept a workflow: 201 only once it is committed (invariant 4), 200 if it exists already."""
@@ -103,19 +103,19 @@
             try:
                 await self._graph(sub.plan)
                 await self.files.get(sub.order)
-            except Missing as err:
+            except UploadNotFound as err:
                 raise InvalidMessage(f"plan, order: {err}") from None
             except FlowError as err:
                 raise InvalidMessage(f"plan: {err}") from None
-            except FilesError as err:
+            except UploadStoreError as err:
                 raise TemporarilyUnavailable(str(err)) from None
             if sub.reuse is not None:
                 reused = await self._read_record(sub.reuse)
                 # Results may be reused within one team only.
                 if reused is None or reused[0].sub.team != sub.team:
                     raise Unschedulable(f"reuse: {sub.team} has no workflow {sub.reuse}")
-            record = records.Head(sub, wall_time())
-            key = records.HEAD + sub.ref
+            record = records.FlowRecord(sub, wall_time())
+            key = records.FLOW_PREFIX + sub.ref
             txn = state_messages.Transaction([state_messages.Condition(key, 0)], [state_messages.Put(key, record)])
             try:
                 result = await self.node.state.commit(txn, timeout=constants.SUBMIT_TIMEOUT_S)
@@ -142,12 +142,12 @@
         try:
             items = (await self.node.state.list(records.step_prefix(ref)))[0]
             nodes = await self._graph(record.sub.plan)
-        except (RequestRejected, OutcomeUnknown, FilesError) as err:
+        except (RequestRejected, OutcomeUnknown, UploadStoreError) as err:
             raise TemporarilyUnavailable(str(err)) from None
         except (InvalidMessage, FlowError):
             return records.build_reply(record)
-        step_records = [records.decode_step(item.value) for item in items]
-        ended_paths = {plain(r.path) for r in step_records}
+        step_records = [records.decode_step_record(item.value) for item in items]
+        ended_paths = {graph_path(r.path) for r in step_records}
         steps = [
             StepReply(r.path, r.how.value, r.tasks, r.tasks if r.how is StepOutcome.DONE else 0, r.jobs)
             for r in step_records
@@ -158,7 +158,7 @@
             if path not in ended_paths
         ]
         positions = {path: position for position, path in enumerate(nodes)}
-        steps.sort(key=lambda s: (positions.get(plain(s.path), 0), s.path))
+        steps.sort(key=lambda s: (positions.get(graph_path(s.path), 0), s.path))
         page = steps[start : start + constants.FLOW_STEPS_PER_PAGE_MAX]
         if record.state is FlowState.OPEN:
             page = [
@@ -188,11 +188,13 @@
     async def list_flows(self, after: str) -> flow_messages.FlowList:
         """One page of all workflows, those with ids after `after`."""
         try:
-            items, _ = await self.node.state.list(records.HEAD)
+            items, _ = await self.node.state.list(records.FLOW_PREFIX)
         except (RequestRejected, OutcomeUnknown) as err:
             raise TemporarilyUnavailable(str(err)) from None
-        remaining = [i for i in items if i.key > records.HEAD + after]
-        replies = [records.build_reply(records.decode_head(i.value)) for i in remaining[: constants.FLOWS_PER_PAGE_MAX]]
+        remaining = [i for i in items if i.key > records.FLOW_PREFIX + after]
+        replies = [
+            records.build_reply(records.decode_flow_record(i.value)) for i in remaining[: constants.FLOWS_PER_PAGE_MAX]
+        ]
         return flow_messages.FlowList(replies, len(remaining) > constants.FLOWS_PER_PAGE_MAX, self.settings.files)
 
     async def cancel(self, ref: str) -> FlowReply | None:
@@ -208,7 +210,7 @@
             if record.state is not FlowState.OPEN:
                 return records.build_reply(record)
             record.state = FlowState.CANCELLED
-            key = records.HEAD + ref
+            key = records.FLOW_PREFIX + ref
             try:
                 result = await self.node.state.commit(
                     state_messages.Transaction(
@@ -227,7 +229,7 @@
 class FlowHandler(UserHandler):
     """Base of the handlers for workflows."""
 
-    def initialize(self, node: ApiHost, flows: Flows) -> None:  # type: ignore[override]
+    def initialize(self, node: ApiHost, flows: FlowService) -> None:  # type: ignore[override]
         self.node = node
         self.flows = flows
 
--- a/winglift/flows/sweep.py
+++ b/winglift/flows/sweep.py
@@ -11,7 +11,7 @@
 from . import records
 
 
-class OldSteps:
+class StepRecordSweeper:
     """Finds old step records. The workflow's record stays, with state and outputs, and is marked `steps_removed`."""
 
     def __init__(self, state: StateClient) -> None:
@@ -24,10 +24,10 @@
             return []
         removals: list[Removal] = []
         now = wall_time()
-        items, _ = await self.state.list(records.HEAD)
+        items, _ = await self.state.list(records.FLOW_PREFIX)
         for item in items:
             try:
-                record = records.decode_head(item.value)
+                record = records.decode_flow_record(item.value)
             except records.InvalidRecord:
                 continue  # not written by this program: not changed
             ended = record.state is FlowState.DONE or record.jobs_cancelled
@@ -40,13 +40,13 @@
         return removals
 
     async def _step_removals(
-        self, item: state_messages.Item, record: records.Head, max_changes: int, now: float
+        self, item: state_messages.Item, record: records.FlowRecord, max_changes: int, now: float
     ) -> list[Removal]:
         ref = record.sub.ref
         steps, _ = await self.state.list(records.step_prefix(ref))
         for step in steps:
             try:
-                if now - records.decode_step(step.value).ended < constants.GC_FLOW_STEP_RETENTION_S:
+                if now - records.decode_step_record(step.value).ended < constants.GC_FLOW_STEP_RETENTION_S:
                     return []
             except records.InvalidRecord:
                 return []
--- a/winglift/flows/values.py
+++ b/winglift/flows/values.py
@@ -14,20 +14,20 @@
     """A workflow can't continue; the message names the place in it."""
 
 
-def fits(value: Any, type_: Any) -> bool:
+def matches_type(value: Any, type_: Any) -> bool:
     """Whether a value has a type (in the normalised form of `wire/flows.py`)."""
     if isinstance(type_, list):
-        return any(fits(value, member) for member in type_)
+        return any(matches_type(value, member) for member in type_)
     if isinstance(type_, dict):
         if "array" in type_:
-            return isinstance(value, list) and all(fits(v, type_["array"]) for v in value)
+            return isinstance(value, list) and all(matches_type(v, type_["array"]) for v in value)
         if "enum" in type_:
             return value in type_["enum"]
         fields = type_["record"]
         return (
             isinstance(value, dict)
             and "class" not in value
-            and all(fits(value.get(name), field_type) for name, field_type in fields.items())
+            and all(matches_type(value.get(name), field_type) for name, field_type in fields.items())
         )
     match type_:
         case "null":
@@ -46,13 +46,13 @@
             return isinstance(value, dict) and value.get("class") == type_
 
 
-def describe(type_: Any) -> str:
+def describe_type(type_: Any) -> str:
     """A type in words, for error messages."""
     if isinstance(type_, list):
-        return " or ".join(map(describe, type_))
+        return " or ".join(map(describe_type, type_))
     if isinstance(type_, dict):
         if "array" in type_:
-            return f"array of {describe(type_['array'])}"
+            return f"array of {describe_type(type_['array'])}"
         return "one of " + ", ".join(type_["enum"]) if "enum" in type_ else "record"
     return type_
 
