--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -36,11 +36,11 @@
         self.processes = processes
         self.controllers = controllers
         self.run_s = run_s
-        self.machines: dict[str, tuple[dict[str, Any], Worker | None, float]] = {}
-        self.requests: dict[str, list[str]] = {}
+        self.machines: dict[str, tuple[dict[str, Any], Worker | None, float]] = {}  # name: entry, worker, rented at
+        self.requests: dict[str, list[str]] = {}  # rental request: names of its machines
         self.capacity = 20
         self.type = dict(TYPE)
-        self.machine_count = 0
+        self.next_machine_number = 0
         self.down = False
         self.list_lag_s = 0.0  # a list shows the machines as they were this long ago
         self.deleted: list[tuple[str, float, float, dict[str, Any]]] = []  # name, rented at, deleted at, entry
@@ -57,8 +57,8 @@
             return self.requests[body["hire"]]
         names = []
         for _ in range(min(body["count"], self.capacity - len(self.machines))):
-            name = f"vm-{self.machine_count:06d}"
-            self.machine_count += 1
+            name = f"vm-{self.next_machine_number:06d}"
+            self.next_machine_number += 1
             entry = {
                 "ref": name,
                 "rigType": body["rigType"],
--- a/standins/world.py
+++ b/standins/world.py
@@ -135,7 +135,7 @@
         self.loss = 0.002  # share of the messages that are lost once and sent again after 0.2 s
         self.log: list[str] = []
         self.number = 0
-        # The verdict on a message: "hold", "drop", None (deliver), `Delayed`, or the time in s after which a copy follows.
+        # The verdict on a message: "hold", "drop", None (deliver), `Delayed`, or the delay in s of a second copy.
         self.watch: Callable[[Message], str | float | Delayed | None] = lambda message: None
         self.record: Callable[[Sent], None] = lambda sent: None  # called with each message that left its host
 
